--- a/src/streamthread/cell/__init__.py
+++ b/src/streamthread/cell/__init__.py
@@ -8,18 +8,18 @@
 from .rows import TABLE_INBOX
 from .rows import TABLE_JOBS
 from .rows import TABLE_RUNS
-from .takeover import TakenCell
+from .takeover import AcquiredCell
 from .times import LeaseTimes
 
 __all__ = [
     "TABLE_INBOX",
     "TABLE_JOBS",
     "TABLE_RUNS",
+    "AcquiredCell",
     "CellEndpoint",
     "CellLease",
     "CellPort",
     "CommitLog",
     "LeaseTimes",
     "PeerLinks",
-    "TakenCell",
 ]
--- a/src/streamthread/cell/commits.py
+++ b/src/streamthread/cell/commits.py
@@ -110,7 +110,7 @@
         self._wake.set()
         return self._next
 
-    def take_back(self, table: str, key: str) -> bool:
+    def unmark(self, table: str, key: str) -> bool:
         """Have a row not written after all.
 
         :return: whether no transaction has carried its change, nor will.
@@ -119,7 +119,7 @@
             return False
         return self._dirty.pop((table, key), None) is not None
 
-    def in_trouble(self) -> bool:
+    def is_degraded(self) -> bool:
         """Whether a commit fails or takes much longer than the store's usual."""
         return self.failing_since_s is not None or self.tried_for_s() > SLOW_COMMIT_S
 
@@ -143,7 +143,7 @@
         """
         return min(self._confirmed_term_s, self._sent_term_s)
 
-    def is_doubtful(self, failing_s: float, slow_s: float) -> bool:
+    def is_commit_overdue(self, failing_s: float, slow_s: float) -> bool:
         """Whether the present commit is tried for too long.
 
         :param failing_s: how long it may be tried once a try has failed.
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -18,8 +18,8 @@
 from .members import Members
 from .peer import PeerLinks
 from .rows import Owner
+from .takeover import AcquiredCell
 from .takeover import Suspicion
-from .takeover import TakenCell
 from .taking import OwnerWriter
 from .times import LeaseTimes
 from .watch import HolderWatch
@@ -52,7 +52,7 @@
         peers: PeerLinks,
         times: LeaseTimes,
         cores: float,
-        on_taken: t.Callable[[TakenCell], t.Awaitable[None]],
+        on_taken: t.Callable[[AcquiredCell], t.Awaitable[None]],
         on_replaced: t.Callable[[], None],
         notes: UnreadableNotes | None = None,
         failures: Failures | None = None,
@@ -105,7 +105,7 @@
         """Return what a peer should know of the holder."""
         return self.book.news()
 
-    def hears_holder(self) -> bool:
+    def is_holder_alive(self) -> bool:
         """Whether a holder that can commit has been heard just now."""
         return self._peers.heard_within(self.times.beat_lost_s)
 
@@ -141,7 +141,7 @@
                 # Most likely the store is down for all of us.
                 await asyncio.sleep(self.times.retry_s)
 
-    async def _hold(self, taken: TakenCell) -> None:
+    async def _hold(self, taken: AcquiredCell) -> None:
         self.takeovers += 1
         self.holding = True
         self.members.announce_soon(self.news())
@@ -151,7 +151,7 @@
             self.holding = False
             log.warning("cell-lost", extra={"token": taken.owner.token})
 
-    async def release(self, taken: TakenCell, successor: str) -> bool:
+    async def release(self, taken: AcquiredCell, successor: str) -> bool:
         """Give the cell up in order, naming who should take over.
 
         :return: whether the store has taken it.
--- a/src/streamthread/cell/members.py
+++ b/src/streamthread/cell/members.py
@@ -98,7 +98,7 @@
             return
         self.addresses.setdefault(daemon_id, address)
 
-    def greeted(self, announcement: pb.Announcement) -> None:
+    def on_announcement(self, announcement: pb.Announcement) -> None:
         """Take a peer's announcement."""
         if announcement.daemon_id and announcement.daemon_id != self._me:
             if is_host_port(announcement.address):
@@ -149,7 +149,7 @@
             try:
                 async with self._telling:
                     answer = await self._peers.announce(address, news)
-                self.greeted(answer)
+                self.on_announcement(answer)
                 return
             except PeerUnavailableError:
                 await asyncio.sleep(RETRY_S)
--- a/src/streamthread/cell/takeover.py
+++ b/src/streamthread/cell/takeover.py
@@ -7,7 +7,7 @@
 
 from .rows import Owner
 
-__all__ = ["Standstill", "Suspicion", "TakenCell"]
+__all__ = ["AcquiredCell", "Standstill", "Suspicion"]
 
 
 class Suspicion(enum.Enum):
@@ -30,26 +30,26 @@
     had ceased to rely on the last of them stays silent while that row stands still.
 
     :param head_version: of the head row, which the take-over requires.
-    :param alone_at_s: on the boot clock: no order leaves that holder later.
+    :param exclusive_from_s: on the boot clock: no order leaves that holder later.
     """
 
     head_version: int
-    alone_at_s: float
+    exclusive_from_s: float
 
 
 @attrs.frozen
-class TakenCell:
+class AcquiredCell:
     """What a new holder begins with.
 
     :param head_version: the head row's version after the take-over.
-    :param taken_at_s: on the boot clock: when the take-over was sent.
-    :param alone_at_s: on the boot clock: no earlier holder sends an order later.
+    :param acquired_at_s: on the boot clock: when the take-over was sent.
+    :param exclusive_from_s: on the boot clock: no earlier holder sends an order later.
     """
 
     owner: Owner
     head_version: int
-    taken_at_s: float
-    alone_at_s: float
+    acquired_at_s: float
+    exclusive_from_s: float
 
     @property
     def last_hold_at_s(self) -> float:
@@ -58,4 +58,8 @@
         It extends runs for as long as it orders; an earlier life of this daemon ended
         before the take-over.
         """
-        return self.alone_at_s if math.isfinite(self.alone_at_s) else self.taken_at_s
+        return (
+            self.exclusive_from_s
+            if math.isfinite(self.exclusive_from_s)
+            else self.acquired_at_s
+        )
--- a/src/streamthread/cell/taking.py
+++ b/src/streamthread/cell/taking.py
@@ -23,9 +23,9 @@
 from .rows import OWNER_KEY
 from .rows import TABLE_HEAD
 from .rows import TABLE_OWNER
+from .takeover import AcquiredCell
 from .takeover import Standstill
 from .takeover import Suspicion
-from .takeover import TakenCell
 from .times import LeaseTimes
 
 __all__ = ["OwnerWriter"]
@@ -75,7 +75,7 @@
         suspicion: Suspicion,
         standstill: Standstill | None = None,
         suspected_at_s: float = 0.0,
-    ) -> TakenCell | None:
+    ) -> AcquiredCell | None:
         """Try to become the holder; None if the cell is left to another.
 
         :param standstill: what is known of the holder's commits.
@@ -129,7 +129,7 @@
         standstill: Standstill | None,
         before: Owner | None,
         seen_version: int,
-    ) -> TakenCell | None:
+    ) -> AcquiredCell | None:
         mine = self._name_self((before.token if before else 0) + 1)
         began_at_s = boot_s()
         version = await self._write_owner(mine, seen_version, standstill)
@@ -151,11 +151,11 @@
             },
         )
         self._book.note_written(mine, version)
-        alone_at_s = self._alone_at_s(suspicion, standstill, began_at_s)
-        return TakenCell(mine, version, began_at_s, alone_at_s)
+        exclusive_from_s = self._alone_at_s(suspicion, standstill, began_at_s)
+        return AcquiredCell(mine, version, began_at_s, exclusive_from_s)
 
     def _alone_at_s(
-        self, suspicion: Suspicion, standstill: Standstill | None, taken_at_s: float
+        self, suspicion: Suspicion, standstill: Standstill | None, acquired_at_s: float
     ) -> float:
         """Return from when on no earlier holder sends an order.
 
@@ -165,12 +165,12 @@
         if suspicion in NOBODY_BEFORE:
             return -math.inf
         if suspicion is Suspicion.RELEASED:
-            return taken_at_s
+            return acquired_at_s
         if standstill is not None:
-            return standstill.alone_at_s
-        return taken_at_s + self._times.trust_over_s
+            return standstill.exclusive_from_s
+        return acquired_at_s + self._times.max_validity_s
 
-    async def release(self, taken: TakenCell, successor: str) -> bool:
+    async def release(self, taken: AcquiredCell, successor: str) -> bool:
         """Give the cell up in order, naming who should take over.
 
         :return: whether the store has taken it.
--- a/src/streamthread/cell/tests/test_commits.py
+++ b/src/streamthread/cell/tests/test_commits.py
@@ -35,7 +35,7 @@
 
 
 def _is_doubtful(log: CommitLog) -> bool:
-    return log.is_doubtful(TIMES.doubt_s, TIMES.slow_doubt_s)
+    return log.is_commit_overdue(TIMES.doubt_s, TIMES.slow_doubt_s)
 
 
 class TestDoubt:
@@ -186,7 +186,7 @@
 
     async def test_is_over_after_the_doubt_about_the_next_commit(self) -> None:
         for commit_s in (0.0, 0.3, 0.6, 0.85, 1.0, 4.0):
-            assert TIMES.doubt_after_s(commit_s) < TIMES.term_s(commit_s)
+            assert TIMES.suspect_after_s(commit_s) < TIMES.term_s(commit_s)
 
     async def test_counts_once_it_is_confirmed(self) -> None:
         log = _log(None, failed=False)
@@ -208,18 +208,18 @@
     async def test_is_one_that_no_transaction_has_carried(self) -> None:
         log = _log(None, failed=False)
         log.mark("table", "key", lambda: b"")
-        assert log.take_back("table", "key")
+        assert log.unmark("table", "key")
         assert not log.is_marked("table", "key")
-        assert not log.take_back("table", "key")
+        assert not log.unmark("table", "key")
 
     async def test_is_none_that_a_transaction_carries(self) -> None:
         log = _log(None, failed=False)
         log.mark("table", "key", lambda: b"")
         log._take()
-        assert not log.take_back("table", "key")
+        assert not log.unmark("table", "key")
         # Marked again meanwhile: the first change is on its way all the same.
         log.mark("table", "key", lambda: b"")
-        assert not log.take_back("table", "key")
+        assert not log.unmark("table", "key")
         assert log.is_marked("table", "key")
 
 
--- a/src/streamthread/cell/tests/test_lease.py
+++ b/src/streamthread/cell/tests/test_lease.py
@@ -15,9 +15,9 @@
 from streamthread.cell.rows import OWNER_KEY
 from streamthread.cell.rows import TABLE_HEAD
 from streamthread.cell.rows import TABLE_OWNER
+from streamthread.cell.takeover import AcquiredCell
 from streamthread.cell.takeover import Standstill
 from streamthread.cell.takeover import Suspicion
-from streamthread.cell.takeover import TakenCell
 from streamthread.clocks import boot_s
 from streamthread.platform.store import ABSENT
 from streamthread.platform.store import Condition
@@ -149,9 +149,9 @@
     """From when on no earlier holder sends an order to a machine."""
 
     @staticmethod
-    async def _take_after_doubt(store: _Store, head_version: int) -> TakenCell:
+    async def _take_after_doubt(store: _Store, head_version: int) -> AcquiredCell:
         lease = _lease(store, _Peers(sure=False, meanwhile=lambda: None))
-        standstill = Standstill(head_version, alone_at_s=5.0)
+        standstill = Standstill(head_version, exclusive_from_s=5.0)
         taken = await lease._writer.take(Suspicion.DOUBTFUL, standstill)
         assert taken is not None
         return taken
@@ -160,7 +160,7 @@
         store = _Store()
         head_version = store.rows[TABLE_HEAD, HEAD_KEY].version
         taken = await self._take_after_doubt(store, head_version)
-        assert taken.alone_at_s == 5.0
+        assert taken.exclusive_from_s == 5.0
 
     async def test_outlasts_the_trust_in_a_commit_that_was_made_since(self) -> None:
         store = _Store()
@@ -168,7 +168,7 @@
         store.put(TABLE_HEAD, HEAD_KEY, Head("later", 1).encode())
         began_at_s = boot_s()
         taken = await self._take_after_doubt(store, head_version)
-        assert taken.alone_at_s >= began_at_s + LeaseTimes().trust_s
+        assert taken.exclusive_from_s >= began_at_s + LeaseTimes().trust_s
 
     @pytest.mark.parametrize("why", [Suspicion.PROCESS_GONE, Suspicion.SILENT])
     async def test_outlasts_the_trust_of_a_holder_that_said_nothing(
@@ -178,20 +178,20 @@
         began_at_s = boot_s()
         taken = await lease._writer.take(why)
         assert taken is not None
-        assert taken.alone_at_s >= began_at_s + lease.times.trust_s
+        assert taken.exclusive_from_s >= began_at_s + lease.times.trust_s
 
     async def test_is_the_take_over_where_the_holder_released_the_cell(self) -> None:
         lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
         taken = await lease._writer.take(Suspicion.RELEASED)
         assert taken is not None
-        assert taken.alone_at_s == taken.taken_at_s
+        assert taken.exclusive_from_s == taken.acquired_at_s
 
     async def test_bounds_what_earlier_holders_extended(self) -> None:
         """A holder whose port seems closed may go on until its trust is over."""
         lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
         taken = await lease._writer.take(Suspicion.PROCESS_GONE)
         assert taken is not None
-        assert taken.last_hold_at_s >= taken.taken_at_s + lease.times.trust_s
+        assert taken.last_hold_at_s >= taken.acquired_at_s + lease.times.trust_s
 
     async def test_of_an_own_earlier_life_bounds_its_holds_by_the_take_over(
         self,
@@ -199,13 +199,13 @@
         lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
         taken = await lease._writer.take(Suspicion.OWN_EARLIER_LIFE)
         assert taken is not None
-        assert taken.last_hold_at_s == taken.taken_at_s
+        assert taken.last_hold_at_s == taken.acquired_at_s
 
     async def test_is_always_where_nobody_held_the_cell(self) -> None:
         lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
         taken = await lease._writer.take(Suspicion.OWN_EARLIER_LIFE)
         assert taken is not None
-        assert taken.alone_at_s == -math.inf
+        assert taken.exclusive_from_s == -math.inf
 
     async def test_counts_from_the_standstill_of_a_silent_holder(self) -> None:
         store = _Store()
@@ -216,4 +216,4 @@
         assert await watch.confirm_silent() is Suspicion.SILENT
         taken = await lease._writer.take(Suspicion.SILENT, watch.standstill)
         assert taken is not None
-        assert taken.alone_at_s < began_at_s + lease.times.trust_over_s + 0.2
+        assert taken.exclusive_from_s < began_at_s + lease.times.max_validity_s + 0.2
--- a/src/streamthread/cell/tests/test_members.py
+++ b/src/streamthread/cell/tests/test_members.py
@@ -22,7 +22,7 @@
         lambda news: None,
     )
     for daemon_id, peer_cores in peers.items():
-        members.greeted(pb.Announcement(daemon_id=daemon_id, cores=peer_cores))
+        members.on_announcement(pb.Announcement(daemon_id=daemon_id, cores=peer_cores))
     return members
 
 
--- a/src/streamthread/cell/times.py
+++ b/src/streamthread/cell/times.py
@@ -71,7 +71,7 @@
     retry_s: float = 0.2
 
     @property
-    def trust_over_s(self) -> float:
+    def max_validity_s(self) -> float:
         """After so long no holder relies on a commit of which nothing is known."""
         return over_s(self.most_trust_s)
 
@@ -87,7 +87,7 @@
         wanted_s = TERM_COMMITS * commit_s + self.renew_s
         return min(max(self.trust_s, wanted_s), self.most_trust_s)
 
-    def doubt_after_s(self, commit_s: float) -> float:
+    def suspect_after_s(self, commit_s: float) -> float:
         """Return how long a commit may just take before its holder doubts itself.
 
         :param commit_s: how long a commit took lately.
--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -8,12 +8,12 @@
 import logbook
 from mode import Service
 
+from ..cell import AcquiredCell
 from ..cell import cell_pb2 as pb
 from ..cell import CellEndpoint
 from ..cell import CellLease
 from ..cell import CellPort
 from ..cell import PeerLinks
-from ..cell import TakenCell
 from ..cell.rows import new_nonce
 from ..clocks import boot_s
 from ..errors import NotHolderError
@@ -213,7 +213,7 @@
 
     # The cell.
 
-    async def _hold(self, taken: TakenCell) -> None:
+    async def _hold(self, taken: AcquiredCell) -> None:
         context = HolderContext(
             daemon_id=self.node.daemon_id,
             store=self.store,
@@ -234,7 +234,7 @@
         if holder.failed:
             await self._rest_after_failure(taken)
 
-    async def _rest_after_failure(self, taken: TakenCell) -> None:
+    async def _rest_after_failure(self, taken: AcquiredCell) -> None:
         """Leave the cell to another daemon, which reads all rows anew."""
         rest_s = min(REST_FIRST_S * 2**self._failed_holders, REST_MOST_S)
         self._failed_holders += 1
@@ -271,7 +271,7 @@
         )
 
     def _announced(self, announcement: pb.Announcement) -> pb.Announcement:
-        self.lease.members.greeted(announcement)
+        self.lease.members.on_announcement(announcement)
         return self.lease.members.announcement(self.lease.news())
 
     def explain(self, request: pb.ExplainRequest) -> pb.ExplainReply:
--- a/src/streamthread/gateway/forwarding.py
+++ b/src/streamthread/gateway/forwarding.py
@@ -140,7 +140,7 @@
         holder = self._holder()
         if holder is not None and holder.active:
             return True
-        return self._lease.hears_holder()
+        return self._lease.is_holder_alive()
 
     async def _ask_holder(self, request: pb.CallRequest, left_s: float) -> pb.CallReply:
         """Ask the holder once; UNCERTAIN when it may have carried it out."""
--- a/src/streamthread/gateway/tests/test_daemon.py
+++ b/src/streamthread/gateway/tests/test_daemon.py
@@ -21,4 +21,4 @@
         bounds = Bounds(most_hold_s=10.0)
         settings = cell_settings(attrs.evolve(NODE, bounds=bounds))
         assert settings.links.most_hold_s == 6.0
-        assert settings.links.lapse_bound_s < 6.25
+        assert settings.links.expiry_bound_s < 6.25
--- a/src/streamthread/gateway/tests/test_forwarding.py
+++ b/src/streamthread/gateway/tests/test_forwarding.py
@@ -28,7 +28,7 @@
     def __init__(self, heard: bool) -> None:
         self._heard = heard
 
-    def hears_holder(self) -> bool:
+    def is_holder_alive(self) -> bool:
         return self._heard
 
 
--- a/src/streamthread/holder/duties.py
+++ b/src/streamthread/holder/duties.py
@@ -35,15 +35,15 @@
 while the cloud is 50 times slower."""
 
 
-def quiet_time_s(alone_at_s: float, now_s: float) -> float:
+def quiet_time_s(exclusive_from_s: float, now_s: float) -> float:
     """Return for how long an earlier holder's orders may still reach the cloud.
 
     The cloud does not refuse them.
 
-    :param alone_at_s: on the boot clock: no such order is sent later.
+    :param exclusive_from_s: on the boot clock: no such order is sent later.
     :param now_s: on the same clock.
     """
-    return max(0.0, alone_at_s + ORDER_FLIGHT_S - now_s)
+    return max(0.0, exclusive_from_s + ORDER_FLIGHT_S - now_s)
 
 
 class DutyLoop:
@@ -76,7 +76,7 @@
     async def run(self) -> None:
         """Do the duties until the cell is lost."""
         await self._book.restore()
-        await asyncio.sleep(quiet_time_s(self._owner.taken.alone_at_s, boot_s()))
+        await asyncio.sleep(quiet_time_s(self._owner.taken.exclusive_from_s, boot_s()))
         while True:
             await self._owner.until_trusted()
             if await self._table.refresh():
@@ -255,4 +255,4 @@
         # A life that began after the list was asked for is the one after the duty.
         if link is not None and link.held_since_s < since_s:
             link.over = True
-            self._owner.on_life_over(link, why)
+            self._owner.on_runner_exit(link, why)
--- a/src/streamthread/holder/handins.py
+++ b/src/streamthread/holder/handins.py
@@ -106,9 +106,9 @@
         if job.left_in_inbox:
             # Its row there goes with the next commit: this is all there is of it.
             return False
-        if not self._commits.take_back(TABLE_JOBS, job_id):
+        if not self._commits.unmark(TABLE_JOBS, job_id):
             return False
-        self._commits.take_back(TABLE_RUNS, job_id)
+        self._commits.unmark(TABLE_RUNS, job_id)
         self._engine.withdraw(job)
         del self._waiting[job_id]
         future.set_result(None)
--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -53,7 +53,7 @@
         while True:
             await asyncio.sleep(TROUBLE_POLL_S)
             self._intake.refuse_overdue()
-            before, troubled = troubled, self._owner.log.in_trouble()
+            before, troubled = troubled, self._owner.log.is_degraded()
             if troubled and not before and self._owner.trusted:
                 log.warning("commits-fail", extra={"runners": len(self._owner.links)})
                 for link in list(self._owner.links.values()):
@@ -76,7 +76,7 @@
 
         Not a moment later: a lasting task of theirs runs nowhere meanwhile.
         """
-        bound_s = self._owner.context.settings.links.lapse_bound_s
+        bound_s = self._owner.context.settings.links.expiry_bound_s
         lapsed_at_s = self._owner.taken.last_hold_at_s + bound_s
         await asyncio.sleep(max(0.0, lapsed_at_s - boot_s()))
         for attempt in self._engine.orphans():
--- a/src/streamthread/holder/lasting.py
+++ b/src/streamthread/holder/lasting.py
@@ -9,8 +9,8 @@
 from ..scheduler import Phase
 from ..scheduler import RunnerState
 from ..scheduler import StepRun
-from ..upkeep.plan import count_away
-from ..upkeep.plan import may_stop_lasting
+from ..upkeep.plan import count_unavailable
+from ..upkeep.plan import may_stop_long_running
 
 __all__ = ["LastingTasks"]
 
@@ -37,7 +37,7 @@
             if not step.request.lasting or attempt.phase is not Phase.CONFIRMED:
                 continue
             away = self._others_away(step, attempt)
-            if may_stop_lasting(away, step.request.may_miss):
+            if may_stop_long_running(away, step.request.may_miss):
                 log.info(
                     "lasting-task-moved",
                     extra={"task": attempt.task.name, "runner": runner.runner_id},
@@ -48,7 +48,7 @@
     def _others_away(self, step: StepRun, attempt: Attempt) -> int:
         """Return how many other tasks of a step are not surely at work."""
         others = (task for task in step.tasks if task is not attempt.task)
-        return count_away(
+        return count_unavailable(
             any(self._is_at_work(a) for a in task.attempts) for task in others
         )
 
--- a/src/streamthread/holder/machines.py
+++ b/src/streamthread/holder/machines.py
@@ -58,7 +58,7 @@
 class MachineTable:
     """All machines of the fleet, at most one pending duty for each.
 
-    :param on_life_over: called with a runner whose machine was taken from it, since
+    :param on_runner_exit: called with a runner whose machine was taken from it, since
         when on the boot clock that is known, and why.
     :param notes: is told of rows that can't be read.
     :param machines: as the cloud listed them last, by machine id.
@@ -71,11 +71,11 @@
         documents: ManifestSource,
         cloud: CloudClient,
         settings: DutySettings,
-        on_life_over: t.Callable[[str, float, str], None],
+        on_runner_exit: t.Callable[[str, float, str], None],
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
-        self._on_life_over = on_life_over
+        self._on_life_over = on_runner_exit
         self._engine = engine
         self._documents = documents
         self._cloud = cloud
--- a/src/streamthread/holder/owner.py
+++ b/src/streamthread/holder/owner.py
@@ -4,8 +4,8 @@
 from abc import ABC
 from abc import abstractmethod
 
+from ..cell import AcquiredCell
 from ..cell import CommitLog
-from ..cell import TakenCell
 from ..platform.store import Page
 from ..runners import RunnerLink
 from ..scheduler import Engine
@@ -22,7 +22,7 @@
     """
 
     token: int
-    taken: TakenCell
+    taken: AcquiredCell
     context: HolderContext
     engine: Engine
     log: CommitLog
@@ -55,5 +55,5 @@
         """Have the queue looked at soon."""
 
     @abstractmethod
-    def on_life_over(self, link: RunnerLink, why: str) -> None:
+    def on_runner_exit(self, link: RunnerLink, why: str) -> None:
         """Learn that this life of the runner has ended."""
--- a/src/streamthread/holder/runner_desk.py
+++ b/src/streamthread/holder/runner_desk.py
@@ -93,8 +93,8 @@
         self._engine.runner_restarted(link.runner, after)
         self._owner.forget_tickets(after.runner_id)
         # An order with a deadline by the former life's clock may have come to this one.
-        other_clock_s = self._owner.context.settings.links.other_clock_s
-        self._hold(after, boot_s() + other_clock_s, listed)
+        former_clock_margin_s = self._owner.context.settings.links.former_clock_margin_s
+        self._hold(after, boot_s() + former_clock_margin_s, listed)
         self._owner.kick()
 
     def _hold(
@@ -128,7 +128,7 @@
         """Return for how long runs may be extended now; 0: not at all."""
         return self._owner.may_extend_s(wanted_s)
 
-    async def on_lists(self, link: RunnerLink, reply: HoldReply) -> None:
+    async def on_hold_reply(self, link: RunnerLink, reply: HoldReply) -> None:
         """Take a runner's lists; return once the ends are durable."""
         sender = self._owner.sender
         for stray in self._engine.on_hold(link.runner, reply):
@@ -151,11 +151,11 @@
         """Have waiting tasks placed on a runner that has just become usable."""
         self._owner.kick()
 
-    def on_life_over(self, link: RunnerLink, why: str) -> None:
+    def on_runner_exit(self, link: RunnerLink, why: str) -> None:
         """Learn that this life of the runner has ended."""
-        self._owner.on_life_over(link, why)
+        self._owner.on_runner_exit(link, why)
 
-    def on_lapsed(self, link: RunnerLink) -> None:
+    def on_all_expired(self, link: RunnerLink) -> None:
         """Learn that all runs there have surely lapsed."""
         self._engine.attempts_lapsed(link.runner.runner_id, "out of reach")
         self._owner.kick()
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -7,12 +7,12 @@
 import logbook
 
 from ..capacity.demand import job_work
+from ..cell import AcquiredCell
 from ..cell import cell_pb2 as pb
 from ..cell import CommitLog
 from ..cell import TABLE_INBOX
 from ..cell import TABLE_JOBS
 from ..cell import TABLE_RUNS
-from ..cell import TakenCell
 from ..clocks import boot_s
 from ..errors import NotHolderError
 from ..loops import Loop
@@ -63,7 +63,7 @@
 class Holder(SenderOwner, RunnerDeskOwner, QueueOwner):
     """Everything that only the cell's holder does, from take-over to loss."""
 
-    def __init__(self, context: HolderContext, taken: TakenCell) -> None:
+    def __init__(self, context: HolderContext, taken: AcquiredCell) -> None:
         self.context = context
         self.settings = context.settings
         self.taken = taken
@@ -111,7 +111,7 @@
             self.settings.part,
             self.token,
             self.taken.head_version,
-            self.taken.taken_at_s,
+            self.taken.acquired_at_s,
             self.settings.times.renew_s,
             self.settings.times,
         )
@@ -343,7 +343,7 @@
         """Whether a job is left alone since a row of it can't be read."""
         return self.intake.is_aside(job_id)
 
-    def on_life_over(self, link: RunnerLink, why: str) -> None:
+    def on_runner_exit(self, link: RunnerLink, why: str) -> None:
         """Learn that this life of the runner has ended."""
         if self.links.get(link.runner.runner_id) is not link:
             # The next life under its id is held already.
--- a/src/streamthread/holder/tests/test_handins.py
+++ b/src/streamthread/holder/tests/test_handins.py
@@ -32,7 +32,7 @@
     def tried_for_s(self) -> float:
         return self.tried_s
 
-    def take_back(self, table: str, key: str) -> bool:
+    def unmark(self, table: str, key: str) -> bool:
         if self.in_flight or (table, key) not in self.dirty:
             return False
         self.dirty.remove((table, key))
--- a/src/streamthread/holder/tests/test_housekeeping.py
+++ b/src/streamthread/holder/tests/test_housekeeping.py
@@ -48,4 +48,4 @@
         waiting = asyncio.ensure_future(housekeeping.drop_orphans())
         await waiting
         assert engine.dropped == ["run"]
-        assert boot_s() >= last_hold_at_s + SETTINGS.lapse_bound_s
+        assert boot_s() >= last_hold_at_s + SETTINGS.expiry_bound_s
--- a/src/streamthread/holder/tests/test_intake.py
+++ b/src/streamthread/holder/tests/test_intake.py
@@ -52,7 +52,7 @@
     def tried_for_s(self) -> float:
         return math.inf
 
-    def take_back(self, table: str, key: str) -> bool:
+    def unmark(self, table: str, key: str) -> bool:
         return self.marked.pop((table, key), None) is not None
 
     async def flushed(self) -> None:
--- a/src/streamthread/holder/tests/test_runner_desk.py
+++ b/src/streamthread/holder/tests/test_runner_desk.py
@@ -84,5 +84,5 @@
         now_s = boot_s()
         desk.on_restarted(owner.links["i-1"], BORN_MS + 1)
         link = owner.links["i-1"]
-        lapsed_at_s = link._last_hold_at_s + LINKS.lapse_bound_s
+        lapsed_at_s = link._last_hold_at_s + LINKS.expiry_bound_s
         assert lapsed_at_s >= now_s + LINKS.cut_hold_s / SLOWEST_CLOCK
--- a/src/streamthread/holder/trust.py
+++ b/src/streamthread/holder/trust.py
@@ -34,8 +34,8 @@
         """Whether a commit was confirmed so lately that nobody took over."""
         times = self._times
         age_s = boot_s() - self._log.confirmed_at_s
-        slow_doubt_s = times.doubt_after_s(self._log.commit_s)
-        doubtful = self._log.is_doubtful(times.doubt_s, slow_doubt_s)
+        slow_doubt_s = times.suspect_after_s(self._log.commit_s)
+        doubtful = self._log.is_commit_overdue(times.doubt_s, slow_doubt_s)
         return age_s < self._log.term_s and not doubtful and not self._log.lost
 
     @property
@@ -76,6 +76,6 @@
         """
         if not self.trusted:
             return 0.0
-        if self._log.in_trouble():
+        if self._log.is_degraded():
             return self._most_hold_s
         return wanted_s
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -213,7 +213,7 @@
         are off although pools wait for them.
         """
         there = collections.Counter(v.pool for v in views if v.usable)
-        may_give = {
+        releasable_by_pool = {
             name: there[name] - (LEAST_LEFT if pressed else target)
             for name, target in targets.items()
         }
@@ -221,7 +221,9 @@
             v.pool for v in views if v.free_to_move and self._table.is_spare(v.pool)
         )
         lacking = 0 if pressed else _count_lacking(views, targets)
-        return may_give | {name: count - lacking for name, count in off.items()}
+        return releasable_by_pool | {
+            name: count - lacking for name, count in off.items()
+        }
 
     def empty(self, machine_ids: t.Iterable[str]) -> None:
         """Place nothing new on machines, and move their lasting tasks away."""
--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -57,7 +57,7 @@
     retry_s: float = 0.1
 
     @property
-    def other_clock_s(self) -> float:
+    def former_clock_margin_s(self) -> float:
         """So much longer than asked for, a deadline by another clock may hold runs.
 
         An order that was reckoned by a former life's clock, and comes to the next one,
@@ -66,7 +66,7 @@
         return max(0.0, self.cut_hold_s - self.most_hold_s) / SLOWEST_CLOCK
 
     @property
-    def lapse_bound_s(self) -> float:
+    def expiry_bound_s(self) -> float:
         """So long after an earlier holder's last order, what it held has lapsed.
 
         How long the order is on its way adds nothing: a deadline is a time on the
@@ -85,7 +85,7 @@
         """Return for how long runs may be extended now; 0: not at all."""
 
     @abstractmethod
-    async def on_lists(self, link: "RunnerLink", reply: HoldReply) -> None:
+    async def on_hold_reply(self, link: "RunnerLink", reply: HoldReply) -> None:
         """Take a runner's lists; return once the ends are durable."""
 
     @abstractmethod
@@ -97,7 +97,7 @@
         """Learn that a runner may get tasks, new or after a silence."""
 
     @abstractmethod
-    def on_life_over(self, link: "RunnerLink", why: str) -> None:
+    def on_runner_exit(self, link: "RunnerLink", why: str) -> None:
         """Learn that this life of the runner has ended."""
 
     @abstractmethod
@@ -105,7 +105,7 @@
         """Learn that the next life of the runner answers, under its id."""
 
     @abstractmethod
-    def on_lapsed(self, link: "RunnerLink") -> None:
+    def on_all_expired(self, link: "RunnerLink") -> None:
         """Learn that all runs there have surely lapsed."""
 
     @abstractmethod
@@ -242,7 +242,7 @@
             self.runner.draining = True
         if self.runner.ready and not was_ready:
             self._owner.on_ready(self)
-        await self._owner.on_lists(self, reply)
+        await self._owner.on_hold_reply(self, reply)
         self._confirmed = max((ended.number for ended in reply.ended), default=0)
         if reply.ended:
             await asyncio.sleep(self._owner.pause_after_ends_s())
@@ -289,11 +289,11 @@
         if self.clock.known:
             lapsed = self.clock.all_lapsed(now_s)
         else:
-            lapsed = now_s > self._last_hold_at_s + self._settings.lapse_bound_s
+            lapsed = now_s > self._last_hold_at_s + self._settings.expiry_bound_s
         if not lapsed:
             return
         if self.listed:
-            self._owner.on_lapsed(self)
+            self._owner.on_all_expired(self)
         else:
             self._end("silent, lapsed and no longer listed")
 
@@ -301,7 +301,7 @@
         if self.over:
             return
         self.over = True
-        self._owner.on_life_over(self, why)
+        self._owner.on_runner_exit(self, why)
 
     def start_deadline_ms(self) -> int:
         """Return until when a start that is sent now may be carried out."""
--- a/src/streamthread/runners/tests/test_link_settings.py
+++ b/src/streamthread/runners/tests/test_link_settings.py
@@ -27,10 +27,10 @@
         clock.sync(0, latency_s)
         sent_at_s = latency_s + age_s
         deadline_ms = clock.deadline_ms(sent_at_s, SETTINGS.most_hold_s)
-        over_at_s = sent_at_s + SETTINGS.lapse_bound_s
+        over_at_s = sent_at_s + SETTINGS.expiry_bound_s
         assert over_at_s * pace * 1000 >= deadline_ms - ROUNDING_MS
 
     def test_leaves_out_how_long_an_order_is_on_its_way(self) -> None:
         """A deadline is a time on the runner's clock, whenever it comes there."""
         longest_s = SETTINGS.most_hold_s / SLOWEST_CLOCK
-        assert SETTINGS.lapse_bound_s <= longest_s + CLOCK_ERROR_S
+        assert SETTINGS.expiry_bound_s <= longest_s + CLOCK_ERROR_S
--- a/src/streamthread/runners/tests/test_restarts.py
+++ b/src/streamthread/runners/tests/test_restarts.py
@@ -50,7 +50,7 @@
     def may_extend_s(self, wanted_s: float) -> float:
         return wanted_s
 
-    async def on_lists(self, link: RunnerLink, reply: HoldReply) -> None:
+    async def on_hold_reply(self, link: RunnerLink, reply: HoldReply) -> None:
         self.lists.append(reply)
 
     def pause_after_ends_s(self) -> float:
@@ -59,14 +59,14 @@
     def on_ready(self, link: RunnerLink) -> None:
         pass
 
-    def on_life_over(self, link: RunnerLink, why: str) -> None:
+    def on_runner_exit(self, link: RunnerLink, why: str) -> None:
         pass
 
     def on_restarted(self, link: RunnerLink, born_ms: int) -> None:
         self.restarted_ms.append(born_ms)
         link.over = True
 
-    def on_lapsed(self, link: RunnerLink) -> None:
+    def on_all_expired(self, link: RunnerLink) -> None:
         pass
 
     def on_fenced(self, link: RunnerLink) -> None:
--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -74,7 +74,7 @@
         """Learn that a runner has seen a higher fencing token."""
 
     @abstractmethod
-    def on_life_over(self, link: RunnerLink, why: str) -> None:
+    def on_runner_exit(self, link: RunnerLink, why: str) -> None:
         """Learn that a runner's life has ended."""
 
     @abstractmethod
@@ -220,7 +220,7 @@
 
     def _end_life(self, link: RunnerLink, why: str) -> None:
         link.over = True
-        self._owner.on_life_over(link, why)
+        self._owner.on_runner_exit(link, why)
 
     # Stops.
 
@@ -289,7 +289,7 @@
             )
         except LifeOverError:
             link.over = True
-            self._owner.on_life_over(link, "another life answered a pace")
+            self._owner.on_runner_exit(link, "another life answered a pace")
             return
         except (StoreUnavailableError, OutcomeUnknownError) as error:
             log.warning(
--- a/src/streamthread/scheduler/tests/test_unreached_starts.py
+++ b/src/streamthread/scheduler/tests/test_unreached_starts.py
@@ -52,7 +52,7 @@
     def ticket_for(self, attempt: t.Any) -> str:
         return ""
 
-    def on_life_over(self, link: t.Any, why: str) -> None:
+    def on_runner_exit(self, link: t.Any, why: str) -> None:
         self._engine.runner_over(link.runner.runner_id, why)
 
 
--- a/src/streamthread/upkeep/plan.py
+++ b/src/streamthread/upkeep/plan.py
@@ -9,8 +9,8 @@
     "UpkeepPlan",
     "UpkeepSettings",
     "WaveView",
-    "count_away",
-    "may_stop_lasting",
+    "count_unavailable",
+    "may_stop_long_running",
     "plan_upkeep",
 ]
 
@@ -52,12 +52,12 @@
 class WaveView:
     """One wave: what is left, and how many may still go down at once.
 
-    :param may_give: how many machines each pool can do without for now.
+    :param releasable_by_pool: how many machines each pool can do without for now.
     """
 
     due: tuple[DueMachine, ...]
     free_slots: int
-    may_give: t.Mapping[str, int] = attrs.field(factory=dict)
+    releasable_by_pool: t.Mapping[str, int] = attrs.field(factory=dict)
 
 
 @attrs.frozen
@@ -74,36 +74,36 @@
     Machines that are off go first, then idle ones, then those with least to do.
     Each pool gives up only what it can do without.
     """
-    may_give = dict(wave.may_give)
+    releasable_by_pool = dict(wave.releasable_by_pool)
     ready = [m for m in wave.due if m.up and m.idle]
     ready.sort(key=lambda machine: (not machine.off, machine.machine_id))
-    begin = _take(ready, wave.free_slots, may_give)
+    begin = _take(ready, wave.free_slots, releasable_by_pool)
     busy = [m for m in wave.due if m.up and not m.idle]
     busy.sort(key=lambda machine: (not machine.emptying, machine.load))
     left = wave.free_slots - len(begin) + settings.emptying_ahead
-    return UpkeepPlan(begin, _take(busy, left, may_give))
+    return UpkeepPlan(begin, _take(busy, left, releasable_by_pool))
 
 
 def _take(
-    machines: t.Iterable[DueMachine], most: int, may_give: dict[str, int]
+    machines: t.Iterable[DueMachine], most: int, releasable_by_pool: dict[str, int]
 ) -> tuple[str, ...]:
     """Return the first machines that their pools can do without.
 
-    :param may_give: reduced by what is taken.
+    :param releasable_by_pool: reduced by what is taken.
     """
     taken: list[str] = []
     for machine in machines:
         if len(taken) >= most:
             break
         if machine.missed:
-            if may_give.get(machine.pool, 0) <= 0:
+            if releasable_by_pool.get(machine.pool, 0) <= 0:
                 continue
-            may_give[machine.pool] -= 1
+            releasable_by_pool[machine.pool] -= 1
         taken.append(machine.machine_id)
     return tuple(taken)
 
 
-def may_stop_lasting(
+def may_stop_long_running(
     others_away: int, may_miss: int | None, default_may_miss: int = 1
 ) -> bool:
     """Whether one more lasting task of a step may be taken away now."""
@@ -111,6 +111,6 @@
     return others_away < limit
 
 
-def count_away(at_work: t.Iterable[bool]) -> int:
+def count_unavailable(at_work: t.Iterable[bool]) -> int:
     """Return how many tasks are not at work."""
     return sum(not working for working in at_work)
--- a/src/streamthread/upkeep/tests/test_plan.py
+++ b/src/streamthread/upkeep/tests/test_plan.py
@@ -10,7 +10,7 @@
 from streamthread.upkeep import UpkeepSettings
 from streamthread.upkeep import WaveProgress
 from streamthread.upkeep import WaveView
-from streamthread.upkeep.plan import may_stop_lasting
+from streamthread.upkeep.plan import may_stop_long_running
 
 due_lists = st.lists(
     st.builds(
@@ -34,8 +34,10 @@
     def test_begins_only_idle_machines_within_the_limit(
         self, due: list[DueMachine], free_slots: int, one: int, two: int
     ) -> None:
-        may_give = {"one": one, "two": two}
-        plan = plan_upkeep(WaveView(tuple(due), free_slots, may_give), UpkeepSettings())
+        releasable_by_pool = {"one": one, "two": two}
+        plan = plan_upkeep(
+            WaveView(tuple(due), free_slots, releasable_by_pool), UpkeepSettings()
+        )
         by_id = {machine.machine_id: machine for machine in due}
         assert len(plan.begin) <= max(0, free_slots)
         for machine_id in plan.begin:
@@ -50,15 +52,15 @@
             if by_id[machine_id].missed
         )
         for pool, count in given_up.items():
-            assert count <= max(0, may_give[pool])
+            assert count <= max(0, releasable_by_pool[pool])
 
     def test_begins_with_machines_that_are_off(self) -> None:
         due = (
             DueMachine("a", "one", idle=True, off=False),
             DueMachine("b", "spare", idle=True, off=True),
         )
-        may_give = {"one": 1, "spare": 1}
-        plan = plan_upkeep(WaveView(due, 1, may_give), UpkeepSettings())
+        releasable_by_pool = {"one": 1, "spare": 1}
+        plan = plan_upkeep(WaveView(due, 1, releasable_by_pool), UpkeepSettings())
         assert plan.begin == ("b",)
 
     def test_leaves_a_pool_what_it_needs(self) -> None:
@@ -77,10 +79,10 @@
 
 class TestLasting:
     def test_one_more_is_stopped_only_below_the_limit(self) -> None:
-        assert may_stop_lasting(0, 1)
-        assert not may_stop_lasting(1, 1)
-        assert not may_stop_lasting(0, 0)
-        assert may_stop_lasting(0, None)
+        assert may_stop_long_running(0, 1)
+        assert not may_stop_long_running(1, 1)
+        assert not may_stop_long_running(0, 0)
+        assert may_stop_long_running(0, None)
 
 
 class TestProgress:
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -8,9 +8,9 @@
 
 import attrs
 
+from streamthread.cell import AcquiredCell
 from streamthread.cell import cell_pb2 as pb
 from streamthread.cell import LeaseTimes
-from streamthread.cell import TakenCell
 from streamthread.cell.rows import Head
 from streamthread.cell.rows import HEAD_KEY
 from streamthread.cell.rows import new_nonce
@@ -53,7 +53,7 @@
 OUST_S = 1.6
 """Nobody takes the cell from a holder that lives before its trust has ended."""
 
-TRUST_S = LeaseTimes().trust_over_s
+TRUST_S = LeaseTimes().max_validity_s
 """So long a holder that lost the cell may send orders."""
 
 RATES = (1.0, 0.98)
@@ -115,7 +115,7 @@
     holding = False
     address = ""
 
-    def hears_holder(self) -> bool:
+    def is_holder_alive(self) -> bool:
         return False
 
 
@@ -305,7 +305,7 @@
         now_s = time.monotonic()
         daemon_id = f"daemon-{self._token}"
         owner = Owner(daemon_id, daemon_id, "", self._token)
-        taken = TakenCell(owner, written.version, now_s, now_s + others_order_s)
+        taken = AcquiredCell(owner, written.version, now_s, now_s + others_order_s)
         self._view = StoreView(self._store, self._fates)
         context = HolderContext(
             daemon_id,
