--- a/src/streamthread/runners/__init__.py
+++ b/src/streamthread/runners/__init__.py
@@ -1,4 +1,4 @@
-"""Holding runners: what runs there, for how long, and what became of it."""
+"""The hold calls to runners, which renew the leases of runs and report their ends."""
 
 from .batching import EndBatching
 from .link import LinkOwner
--- a/src/streamthread/runners/batching.py
+++ b/src/streamthread/runners/batching.py
@@ -1,4 +1,4 @@
-"""How long ends are gathered before a busy runner is asked again."""
+"""Chooses how long a busy runner may collect ended runs between two hold calls."""
 
 import typing as t
 
@@ -10,39 +10,43 @@
 __all__ = ["EndBatching"]
 
 REPLIES_PER_S = 300.0
-"""Lists that one holder takes a second from all runners: 0.4 ms of processor each,
-an eighth of a core."""
+"""Maximum rate of hold replies that a holder processes over all runners. Each one takes
+0.4 ms of CPU time, an eighth of a core in total."""
 
-PROMPT_S = 0.05
-"""A pause that would be shorter is left out: few runners are asked at once."""
+SKIPPED_PAUSE_S = 0.05
+"""Subtracted from each pause; shorter pauses are skipped, because only a few runners
+are called then."""
 
-MOST_PAUSE_S = 0.5
-"""However many are busy: runs are held for 3.2 s, and starts for 2.5 s."""
+MAX_PAUSE_S = 0.5
+"""Upper limit for any number of busy runners. It is well below the 3.2 s for which a
+hold call extends runs and the 2.5 s within which a start must be carried out."""
 
-COUNTED_FOR_S = 0.25
-"""The busy runners are counted this often; a burst takes longer to unfold."""
+COUNT_INTERVAL_S = 0.25
+"""Interval at which the busy runners are counted; a burst of load takes longer than
+this to develop."""
 
 
 @attrs.define
 class EndBatching:
-    """Spreads the holder's processor over its runners.
+    """Limits the CPU time that the holder spends on hold replies.
 
-    A runner answers at its next end. Where many of them end tasks all the time,
-    each is asked after a pause, so that one answer tells several ends.
+    A runner answers a hold call as soon as a run ends. When many runners end tasks
+    continuously, each one is called again only after a pause, so that one reply
+    reports several ended runs.
 
-    :param runners: all runners that are held.
+    :param runners: returns all runners that receive hold calls.
     """
 
     runners: t.Callable[[], t.Iterable[RunnerState]]
     _pause_s: float = 0.0
-    _counted_at_s: float = -COUNTED_FOR_S
+    _counted_at_s: float = -COUNT_INTERVAL_S
 
     def pause_s(self) -> float:
-        """Return for how long a runner that told ends is left alone."""
+        """Return the pause before a runner that reported ended runs is called again."""
         now_s = boot_s()
-        if now_s - self._counted_at_s >= COUNTED_FOR_S:
+        if now_s - self._counted_at_s >= COUNT_INTERVAL_S:
             self._counted_at_s = now_s
             busy = sum(bool(runner.attempts) for runner in self.runners())
-            wanted_s = busy / REPLIES_PER_S - PROMPT_S
-            self._pause_s = min(max(0.0, wanted_s), MOST_PAUSE_S)
+            wanted_s = busy / REPLIES_PER_S - SKIPPED_PAUSE_S
+            self._pause_s = min(max(0.0, wanted_s), MAX_PAUSE_S)
         return self._pause_s
--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -1,4 +1,4 @@
-"""The loop that holds one life of a runner and reads what runs there."""
+"""The loop that sends hold calls to one incarnation of a runner and reads its lists."""
 
 import asyncio
 from abc import ABC
@@ -23,28 +23,29 @@
 
 log = logbook.Logger("streamthread.runners")
 
-OLDEST_ANSWER_S = 3.0
-"""A deadline is reckoned from a runner's clock as its last answer told it. No answer
-before a deadline is older: runs are held for 3.2 s from call to call."""
+MAX_SYNC_AGE_S = 3.0
+"""Maximum age of the answer from which a deadline is computed. Deadlines are based on
+the clock in the runner's last answer, which cannot be older because runs are only
+extended by 3.2 s from one call to the next."""
 
-CLOCK_ERROR_S = OLDEST_ANSWER_S * (1 / SLOWEST_CLOCK - 1)
-"""A runner whose clock runs slow reaches such a deadline so much later."""
+MAX_CLOCK_ERROR_S = MAX_SYNC_AGE_S * (1 / SLOWEST_CLOCK - 1)
+"""Maximum delay with which a runner whose clock runs slow reaches such a deadline."""
 
 
 @attrs.frozen
 class LinkSettings:
-    """How runners are held.
-
-    :param hold_s: how long one call extends what runs there; what is out of
-        reach can run elsewhere after this time.
-    :param most_hold_s: the longest that runners are asked to be held.
-    :param cut_hold_s: runners cut holds that are longer to this.
-    :param wait_s: how long a runner may wait for an end before it answers.
-    :param idle_wait_s: the same for a runner that has nothing to end. A start that is
-        sent meanwhile holds for ``start_within_s``, a second longer.
-    :param answer_s: an answer takes no longer than this, beside ``wait_s``.
-    :param start_within_s: a start that is carried out later is refused.
-    :param retry_s: pause after a call without answer.
+    """Durations of hold calls, which renew the leases of a runner's runs.
+
+    :param hold_s: how long one call extends the runs; the runs of an unreachable
+        runner can be started elsewhere after this time.
+    :param most_hold_s: the longest extension that a holder requests.
+    :param cut_hold_s: runners truncate longer extensions to this.
+    :param wait_s: how long a runner may wait for a run to end before it answers.
+    :param idle_wait_s: the same for a runner without runs. A start that is sent during
+        this wait is valid for ``start_within_s``, which is a second longer.
+    :param answer_s: time-out of an answer, in addition to ``wait_s``.
+    :param start_within_s: runners refuse a start that they would carry out later.
+    :param retry_s: pause after a call without an answer.
     """
 
     hold_s: float = 3.2
@@ -58,69 +59,71 @@
 
     @property
     def former_clock_margin_s(self) -> float:
-        """So much longer than asked for, a deadline by another clock may hold runs.
+        """How much longer than requested a deadline of another clock may extend runs.
 
-        An order that was reckoned by a former life's clock, and comes to the next one,
-        may lie far ahead there; the runner cuts it.
+        A deadline that was computed from the clock of the previous incarnation can be
+        far in the future on the clock of the next one. The runner truncates it to
+        ``cut_hold_s``.
         """
         return max(0.0, self.cut_hold_s - self.most_hold_s) / SLOWEST_CLOCK
 
     @property
     def expiry_bound_s(self) -> float:
-        """So long after an earlier holder's last order, what it held has lapsed.
+        """Time after an earlier holder's last order when all its runs have expired.
 
-        How long the order is on its way adds nothing: a deadline is a time on the
-        runner's clock, which the holder reckoned when it sent the order.
+        The order's transmission time does not count: a deadline is a time on the
+        runner's clock, which the holder computes when it sends the order.
         """
-        return self.most_hold_s / SLOWEST_CLOCK + CLOCK_ERROR_S
+        return self.most_hold_s / SLOWEST_CLOCK + MAX_CLOCK_ERROR_S
 
 
 class LinkOwner(ABC):
-    """What a link needs of the holder."""
+    """The interface of the holder that a link uses."""
 
     token: int
 
     @abstractmethod
     def may_extend_s(self, wanted_s: float) -> float:
-        """Return for how long runs may be extended now; 0: not at all."""
+        """Return for how long runs may be extended now, or 0 if not at all."""
 
     @abstractmethod
     async def on_hold_reply(self, link: "RunnerLink", reply: HoldReply) -> None:
-        """Take a runner's lists; return once the ends are durable."""
+        """Process a runner's lists; return once the ended runs are durable."""
 
     @abstractmethod
     def pause_after_ends_s(self) -> float:
-        """Return for how long a runner that told ends is left alone."""
+        """Return the pause before a runner that reported ended runs is called again."""
 
     @abstractmethod
     def on_ready(self, link: "RunnerLink") -> None:
-        """Learn that a runner may get tasks, new or after a silence."""
+        """Called when a runner can receive tasks, initially or after a silence."""
 
     @abstractmethod
     def on_runner_exit(self, link: "RunnerLink", why: str) -> None:
-        """Learn that this life of the runner has ended."""
+        """Called when this incarnation of the runner has exited."""
 
     @abstractmethod
     def on_restarted(self, link: "RunnerLink", born_ms: int) -> None:
-        """Learn that the next life of the runner answers, under its id."""
+        """Called when the next incarnation of the runner answers under the same id."""
 
     @abstractmethod
     def on_all_expired(self, link: "RunnerLink") -> None:
-        """Learn that all runs there have surely lapsed."""
+        """Called when all runs there are certain to have expired."""
 
     @abstractmethod
     def on_fenced(self, link: "RunnerLink") -> None:
-        """Learn that the runner has seen a higher fencing token."""
+        """Called when the runner has received a higher fencing token."""
 
 
 class RunnerLink:
-    """Holds one life of a runner until it is over.
-
-    :param held_since_s: when it was taken to be held, on the boot clock.
-    :param heard_at_s: when it answered a call last, on the boot clock; 0: not yet.
-    :param last_hold_at_s: when an earlier holder may have extended runs last; its
-        deadlines end no later than ``most_hold_s`` after it.
-    :param listed: its entry is known.
+    """Sends hold calls to one incarnation of a runner until it exits.
+
+    :param held_since_s: when this link was created, on the boot clock.
+    :param heard_at_s: when the runner last answered a call, on the boot clock; 0 if it
+        has not answered yet.
+    :param last_hold_at_s: the latest time at which an earlier holder may have extended
+        runs; its deadlines end at most ``most_hold_s`` later.
+    :param listed: whether the runner's entry is known.
     """
 
     def __init__(
@@ -148,18 +151,18 @@
     def silent(self) -> bool:
         """Whether the last call got no answer.
 
-        Nothing that carries a deadline may be sent then: each one could extend
-        what runs there, and its end would never be sure.
+        While this is true, no call may carry a deadline: each one could extend the
+        runs there, and their expiry could never be established.
         """
         return self.runner.silent_at_s is not None
 
     async def run(self) -> None:
-        """Hold until this life is over."""
+        """Send hold calls until this incarnation exits."""
         while not self.over:
             try:
                 await self._hold_once()
             except LifeOverError:
-                self._end("another life answers at its address")
+                self._end("another incarnation answers at its address")
             except (StoreUnavailableError, OutcomeUnknownError) as error:
                 self._on_silence(str(error), isinstance(error, NoAnswerError))
                 await asyncio.sleep(self._settings.retry_s)
@@ -168,7 +171,7 @@
         extend_s = self._owner.may_extend_s(self._settings.hold_s)
         if extend_s <= 0:
             await asyncio.sleep(self._settings.retry_s)
-            self._check_lapse()
+            self._check_expiry()
             return
         deadline_ms = None
         wait_s = 0.0
@@ -197,7 +200,7 @@
         await self._on_reply(reply)
 
     async def extend_once(self) -> None:
-        """Extend what runs there now, beside the call that may be waiting."""
+        """Extend the current runs, concurrently with a pending hold call."""
         extend_s = self._owner.may_extend_s(self._settings.hold_s)
         if extend_s <= 0 or not self.clock.known or self.over or self.silent:
             return
@@ -213,7 +216,7 @@
                 self._settings.answer_s,
             )
         except (LifeOverError, StoreUnavailableError, OutcomeUnknownError) as error:
-            # The loop beside this one meets the same and draws the conclusions.
+            # The hold loop gets the same error and handles it.
             log.info(
                 "extension-unanswered",
                 extra={"runner": self.runner.runner_id, "error": str(error)},
@@ -248,11 +251,12 @@
             await asyncio.sleep(self._owner.pause_after_ends_s())
 
     def on_order_unanswered(self, sent_at_s: float) -> None:
-        """Place nothing more on a runner that has said nothing since an order.
+        """Place no more tasks on a runner that has not answered since an order.
 
-        One that answers other calls is well: the order's answer was lost.
+        A runner that answered another call since then is healthy: only the answer to
+        the order was lost.
 
-        :param sent_at_s: on the boot clock.
+        :param sent_at_s: when the order was sent, on the boot clock.
         """
         if self.heard_at_s < sent_at_s:
             self.runner.ready = False
@@ -264,14 +268,15 @@
         await asyncio.sleep(self._settings.retry_s)
 
     def _on_silence(self, why: str, hung: bool) -> None:
-        """Place nothing more on a runner that does not answer.
+        """Place no more tasks on a runner that does not answer.
 
-        :param hung: its process may be there as it was, for all that is known.
+        :param hung: the runner's process may still exist unchanged.
         """
         if self.over:
             return
         now_s = boot_s()
-        # Who answers next may be another life, whose ends count from 1 again.
+        # The next answer may come from another incarnation, which numbers its ended
+        # runs from 1 again.
         self._confirmed = 0
         if not self.silent:
             self.runner.silent_at_s = now_s
@@ -280,22 +285,22 @@
                 "runner-unanswered",
                 extra={"runner": self.runner.runner_id, "why": why},
             )
-        # One unanswered call is enough: a runner that is well answers each one in time.
+        # One unanswered call is enough: a healthy runner answers every call in time.
         self.runner.ready = False
-        self._check_lapse()
+        self._check_expiry()
 
-    def _check_lapse(self) -> None:
+    def _check_expiry(self) -> None:
         now_s = boot_s()
         if self.clock.known:
-            lapsed = self.clock.all_lapsed(now_s)
+            expired = self.clock.all_expired(now_s)
         else:
-            lapsed = now_s > self._last_hold_at_s + self._settings.expiry_bound_s
-        if not lapsed:
+            expired = now_s > self._last_hold_at_s + self._settings.expiry_bound_s
+        if not expired:
             return
         if self.listed:
             self._owner.on_all_expired(self)
         else:
-            self._end("silent, lapsed and no longer listed")
+            self._end("unanswered, expired and no longer listed")
 
     def _end(self, why: str) -> None:
         if self.over:
@@ -304,5 +309,8 @@
         self._owner.on_runner_exit(self, why)
 
     def start_deadline_ms(self) -> int:
-        """Return until when a start that is sent now may be carried out."""
+        """Return the latest time at which a start sent now may be carried out.
+
+        The time is on the runner's clock.
+        """
         return self.clock.deadline_ms(boot_s(), self._settings.start_within_s)
--- a/src/streamthread/runners/tests/test_batching.py
+++ b/src/streamthread/runners/tests/test_batching.py
@@ -1,4 +1,4 @@
-"""How long a runner that told ends is left alone."""
+"""Tests the pause before a runner that reported ended runs is called again."""
 
 from streamthread.runners import EndBatching
 from streamthread.runners import LinkSettings
@@ -16,13 +16,13 @@
 
 
 class TestPause:
-    def test_is_none_while_few_are_busy(self) -> None:
+    def test_is_zero_while_few_runners_are_busy(self) -> None:
         assert _batching(10).pause_s() == 0.0
 
-    def test_grows_with_the_busy_runners(self) -> None:
+    def test_grows_with_the_number_of_busy_runners(self) -> None:
         assert 0.1 < _batching(85).pause_s() < _batching(150).pause_s()
 
-    def test_stays_far_below_how_long_runs_are_held(self) -> None:
+    def test_stays_below_the_validity_of_a_start(self) -> None:
         settings = LinkSettings()
         left_s = settings.start_within_s - settings.wait_s - settings.answer_s
         assert _batching(18_000).pause_s() < left_s
--- a/src/streamthread/runners/tests/test_clock.py
+++ b/src/streamthread/runners/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""When work on a silent runner is surely gone."""
+"""Tests when all runs of a silent runner are certain to have expired."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,7 +6,7 @@
 from streamthread.runners.clock import RunnerClock
 
 
-class TestLapse:
+class TestExpiry:
     @given(
         rate=st.floats(0.98, 1.0),
         offset_ms=st.integers(0, 10**7),
@@ -14,7 +14,7 @@
         hold_s=st.floats(0.1, 10),
         asked_after_s=st.floats(0, 60),
     )
-    def test_is_never_claimed_before_the_runner_has_killed_all(
+    def test_is_never_reported_before_the_runner_has_killed_all_runs(
         self,
         rate: float,
         offset_ms: int,
@@ -27,16 +27,16 @@
         deadline_ms = clock.deadline_ms(100.0 + sent_after_s, hold_s)
         now_s = 100.0 + sent_after_s + asked_after_s
         true_clock_ms = offset_ms + (now_s - 100.0) * 1000 * rate
-        if clock.all_lapsed(now_s):
+        if clock.all_expired(now_s):
             assert true_clock_ms >= deadline_ms - 1
 
     def test_is_unknown_for_a_runner_that_never_answered(self) -> None:
-        assert not RunnerClock().all_lapsed(1e9)
+        assert not RunnerClock().all_expired(1e9)
 
-    def test_counts_the_latest_deadline_of_all(self) -> None:
+    def test_uses_the_latest_of_all_deadlines(self) -> None:
         clock = RunnerClock()
         clock.sync(0, 0.0)
         clock.deadline_ms(0.0, 9.0)
         clock.deadline_ms(1.0, 1.0)
-        assert not clock.all_lapsed(5.0)
-        assert clock.all_lapsed(9.3)
+        assert not clock.all_expired(5.0)
+        assert clock.all_expired(9.3)
--- a/src/streamthread/runners/tests/test_link.py
+++ b/src/streamthread/runners/tests/test_link.py
@@ -1,4 +1,4 @@
-"""What an order without an answer says of a runner."""
+"""Tests how a link handles an order that got no answer."""
 
 import typing as t
 
@@ -11,18 +11,18 @@
 def _link() -> RunnerLink:
     runner = RunnerState("i-1", "desk", "x:1", "z", ("a", "r"), 4000, 100, 0)
     runner.ready = True
-    nothing = t.cast(t.Any, None)
-    return RunnerLink(runner, nothing, nothing, LinkSettings(), boot_s())
+    unused = t.cast(t.Any, None)
+    return RunnerLink(runner, unused, unused, LinkSettings(), boot_s())
 
 
 class TestUnansweredOrder:
-    def test_keeps_tasks_away_from_a_runner_that_says_nothing(self) -> None:
+    def test_stops_placement_on_a_runner_that_answers_nothing(self) -> None:
         link = _link()
         link.heard_at_s = 10.0
         link.on_order_unanswered(sent_at_s=10.5)
         assert not link.runner.ready
 
-    def test_says_nothing_of_a_runner_that_was_heard_since(self) -> None:
+    def test_is_ignored_if_the_runner_has_answered_since(self) -> None:
         link = _link()
         link.heard_at_s = 11.0
         link.on_order_unanswered(sent_at_s=10.5)
--- a/src/streamthread/runners/tests/test_restarts.py
+++ b/src/streamthread/runners/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""A holder's link to a runner that starts again under its id."""
+"""Tests a holder's link to a runner that restarts under the same id."""
 
 import typing as t
 
@@ -20,10 +20,10 @@
 
 
 class _Client(RunnerClient):
-    """Answers holds by a script.
+    """Answers hold calls with scripted replies.
 
-    :param confirmed: up to which end each hold said that ends are recorded.
-    :param deadlines_ms: until when each of them held what runs.
+    :param confirmed: the number of the last recorded end in each hold call.
+    :param deadlines_ms: the deadline in each hold call.
     """
 
     def __init__(self, answers: t.Sequence[Answer]) -> None:
@@ -87,7 +87,7 @@
     born_ms: int | None = BORN_MS,
     earlier_born_ms: t.Iterable[int] = (),
 ) -> tuple[_Owner, _Client]:
-    """Hold a runner until the script ends, or until its next life is told."""
+    """Send hold calls until the script ends or the next incarnation is reported."""
     client = _Client(answers)
     runner = RunnerState("i-1", "desk", "x:1", "z", ("a", "r"), 4000, 100, 0)
     runner.born_ms = born_ms
@@ -101,28 +101,30 @@
     return owner, client
 
 
-class TestNextLife:
-    async def test_is_told_and_its_lists_are_not_taken_for_the_former_one(self) -> None:
+class TestNextIncarnation:
+    async def test_is_reported_and_its_lists_are_not_attributed_to_the_old_one(
+        self,
+    ) -> None:
         first, second = _lists(CLOCK_MS), _lists(7, 1, born_ms=BORN_MS + 1)
         owner, _ = await _play([first, second])
         assert owner.restarted_ms == [BORN_MS + 1]
         assert owner.lists == [first]
 
-    async def test_needs_no_silence_before(self) -> None:
+    async def test_is_recognized_without_a_previous_silence(self) -> None:
         owner, _ = await _play([_lists(7, born_ms=BORN_MS + 1)])
         assert owner.restarted_ms == [BORN_MS + 1]
 
-    async def test_is_none_where_the_birth_is_told_for_the_first_time(self) -> None:
+    async def test_is_not_assumed_for_the_first_known_start_time(self) -> None:
         owner, _ = await _play([_lists(CLOCK_MS), _lists(CLOCK_MS + 1)], born_ms=None)
         assert len(owner.lists) == 2
 
-    async def test_is_none_where_the_runner_never_tells_its_birth(self) -> None:
-        silent_on_it = [_lists(CLOCK_MS + n, born_ms=None) for n in range(3)]
-        owner, _ = await _play(silent_on_it, born_ms=None)
-        assert owner.lists == silent_on_it
+    async def test_is_not_assumed_if_the_runner_reports_no_start_time(self) -> None:
+        replies = [_lists(CLOCK_MS + n, born_ms=None) for n in range(3)]
+        owner, _ = await _play(replies, born_ms=None)
+        assert owner.lists == replies
 
-    async def test_is_none_that_was_over_before(self) -> None:
-        """Two writers that disagree on a birth end no life again and again."""
+    async def test_is_not_one_that_has_already_exited(self) -> None:
+        """Contradictory start times from two writers do not end links repeatedly."""
         owner, _ = await _play(
             [_lists(CLOCK_MS), _lists(CLOCK_MS + 1)], BORN_MS + 1, [BORN_MS]
         )
@@ -130,27 +132,27 @@
 
 
 class TestConfirmations:
-    """Up to which end a hold says that ends are recorded.
+    """The number of the last recorded end in a hold call.
 
-    Found by reading: the next life of a runner was asked with the number of the former
-    life's last end. A runner forgets the ends up to that number, so that one which had
-    come before that hold would be told to nobody, and its task be done twice.
+    Guards against confirming an end of the previous incarnation to the next one. A
+    runner forgets all ends up to the confirmed number, so an end that occurred before
+    that call would never be reported, and its task would run twice.
     """
 
-    async def test_name_no_end_to_a_runner_that_was_silent(self) -> None:
+    async def test_name_no_end_after_a_silence(self) -> None:
         _, client = await _play(
             [_lists(CLOCK_MS, 57), _no_answer(), _lists(CLOCK_MS + 9)]
         )
         assert client.confirmed[:3] == [0, 57, 0]
 
     async def test_are_sent_until_one_is_answered(self) -> None:
-        """The next life may take the place of one that was never silent."""
+        """The next incarnation may replace one that was never silent."""
         _, client = await _play(
             [_lists(CLOCK_MS, 57), _lists(CLOCK_MS + 1), _lists(CLOCK_MS + 2)]
         )
         assert client.confirmed[:3] == [0, 57, 0]
 
-    async def test_follow_ends_that_are_listed_again(self) -> None:
+    async def test_include_ends_that_are_listed_again(self) -> None:
         answers = [_lists(CLOCK_MS, 57), _no_answer(), _lists(CLOCK_MS + 1, 57, 58)]
         _, client = await _play([*answers, _lists(CLOCK_MS + 2)])
         assert client.confirmed[:4] == [0, 57, 0, 58]
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -253,7 +253,7 @@
         "runners/link.py",
         "        if self.runner.is_next_life(reply.born_ms):\n",
         "        if False:\n",
-        ("src/streamthread/runners/tests/test_restarts.py::TestNextLife",),
+        ("src/streamthread/runners/tests/test_restarts.py::TestNextIncarnation",),
     ),
     Guard(
         "entries-tell-lives-apart",
