--- a/src/streamthread/upkeep/__init__.py
+++ b/src/streamthread/upkeep/__init__.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: which machine goes down when, and what must leave it first."""
+"""Waves of upkeep: decides which machines go down when, and which to empty first."""
 
 from .pacing import paced_slots
 from .pacing import presses
--- a/src/streamthread/upkeep/pacing.py
+++ b/src/streamthread/upkeep/pacing.py
@@ -1,37 +1,39 @@
-"""How many machines of a wave may be down, and when it can wait no longer."""
+"""Limits how many machines of a wave are down at once, and detects urgent waves."""
 
 import math
 
 __all__ = ["DOWN_S", "paced_slots", "presses"]
 
 ROUND_S = 5.0
-"""Emptying a machine takes as long as its tasks, some 2.5 s, an upkeep 2 s; the list
-shows its end half a second later."""
+"""Duration of one round: emptying a machine takes as long as its tasks, about 2.5 s,
+the upkeep takes 2 s, and its end appears in the machine list half a second later."""
 
 DOWN_S = 3.0
-"""An upkeep takes 2 s, and half a second each until it is ordered and is seen."""
+"""How long a machine is down: the upkeep takes 2 s, ordering it and observing its end
+take half a second each."""
 
 SPARE_ROUNDS = 1
-"""Of the time for a round: what is left when a holder changes or the store is away."""
+"""Rounds kept in reserve for a change of the holder or an outage of the store."""
 
 
-def presses(left: int, most_at_once: int, rest_s: float) -> bool:
-    """Whether a wave can no longer wait for pools to have machines to spare.
+def presses(left: int, max_at_once: int, remaining_s: float) -> bool:
+    """Whether a wave is too urgent to wait until pools can spare machines.
 
-    :param left: machines that have not begun their upkeep.
-    :param rest_s: until the wave should be over.
+    :param left: the number of machines that have not begun their upkeep.
+    :param max_at_once: how many machines may be down at the same time.
+    :param remaining_s: the time until the wave should be complete.
     """
-    rounds = math.ceil(left / max(1, most_at_once))
-    return rest_s <= (rounds + SPARE_ROUNDS) * ROUND_S
+    rounds = math.ceil(left / max(1, max_at_once))
+    return remaining_s <= (rounds + SPARE_ROUNDS) * ROUND_S
 
 
-def paced_slots(left: int, most_at_once: int, rest_s: float) -> int:
-    """Return how many machines of a wave may be down at once for now.
+def paced_slots(left: int, max_at_once: int, remaining_s: float) -> int:
+    """Return how many machines of a wave may currently be down at once.
 
-    No more than spread what is left over the time, less what :func:`presses` keeps:
-    machines in upkeep are not there for a burst.
+    The remaining machines are spread over the remaining time, without the rounds that
+    :func:`presses` reserves, because machines in upkeep cannot serve a burst of load.
     """
-    spread_s = rest_s - (1 + SPARE_ROUNDS) * ROUND_S
+    spread_s = remaining_s - (1 + SPARE_ROUNDS) * ROUND_S
     if spread_s <= DOWN_S:
-        return most_at_once
-    return min(most_at_once, math.ceil(left * DOWN_S / spread_s))
+        return max_at_once
+    return min(max_at_once, math.ceil(left * DOWN_S / spread_s))
--- a/src/streamthread/upkeep/plan.py
+++ b/src/streamthread/upkeep/plan.py
@@ -1,4 +1,4 @@
-"""Which machines of a wave go down now, and which are to be emptied."""
+"""Decides which machines of a wave go down now, and which are emptied."""
 
 import typing as t
 
@@ -17,10 +17,10 @@
 
 @attrs.frozen
 class UpkeepSettings:
-    """Figures of the waves.
+    """Settings of the waves.
 
-    :param emptying_ahead: so many more machines than have a slot are emptied
-        ahead, since that takes as long as a task runs.
+    :param emptying_ahead: how many machines beyond the free slots are emptied in
+        advance, because emptying takes as long as the tasks run.
     """
 
     emptying_ahead: int = 1
@@ -28,14 +28,14 @@
 
 @attrs.frozen
 class DueMachine:
-    """A machine that still has to go into upkeep.
-
-    :param idle: nothing runs there.
-    :param off: it sits in a spare pool.
-    :param missed: its pool has one machine less without it; not so for one that is
-        being emptied already, drains or is silent.
-    :param emptying: it is being emptied already.
-    :param load: how much runs there; less is emptied sooner.
+    """A machine whose upkeep is pending.
+
+    :param idle: whether nothing runs on the machine.
+    :param off: whether the machine is in a spare pool.
+    :param missed: whether taking it down reduces its pool by one machine. This is
+        false for a machine that is being emptied, is draining or is silent.
+    :param emptying: whether the machine is already being emptied.
+    :param load: the load of the machine; lightly loaded machines are emptied first.
     """
 
     machine_id: str
@@ -50,9 +50,9 @@
 
 @attrs.frozen
 class WaveView:
-    """One wave: what is left, and how many may still go down at once.
+    """The state of one wave: pending machines, and how many more may go down now.
 
-    :param releasable_by_pool: how many machines each pool can do without for now.
+    :param releasable_by_pool: how many machines each pool can currently spare.
     """
 
     due: tuple[DueMachine, ...]
@@ -62,55 +62,58 @@
 
 @attrs.frozen
 class UpkeepPlan:
-    """Machines whose upkeep begins now, and machines to be emptied."""
+    """The machines whose upkeep begins now, and the machines to empty."""
 
     begin: tuple[str, ...]
     empty: tuple[str, ...]
 
 
 def plan_upkeep(wave: WaveView, settings: UpkeepSettings) -> UpkeepPlan:
-    """Return what to do now for a wave.
+    """Return the next actions of a wave.
 
-    Machines that are off go first, then idle ones, then those with least to do.
-    Each pool gives up only what it can do without.
+    Machines in spare pools go first, then idle ones, then those with the least load.
+    Each pool releases only the machines that it can spare.
     """
     releasable_by_pool = dict(wave.releasable_by_pool)
     ready = [m for m in wave.due if m.up and m.idle]
     ready.sort(key=lambda machine: (not machine.off, machine.machine_id))
-    begin = _take(ready, wave.free_slots, releasable_by_pool)
+    begin = _select(ready, wave.free_slots, releasable_by_pool)
     busy = [m for m in wave.due if m.up and not m.idle]
     busy.sort(key=lambda machine: (not machine.emptying, machine.load))
     left = wave.free_slots - len(begin) + settings.emptying_ahead
-    return UpkeepPlan(begin, _take(busy, left, releasable_by_pool))
+    return UpkeepPlan(begin, _select(busy, left, releasable_by_pool))
 
 
-def _take(
-    machines: t.Iterable[DueMachine], most: int, releasable_by_pool: dict[str, int]
+def _select(
+    machines: t.Iterable[DueMachine], limit: int, releasable_by_pool: dict[str, int]
 ) -> tuple[str, ...]:
-    """Return the first machines that their pools can do without.
+    """Return the first ``limit`` machines that their pools can spare.
 
-    :param releasable_by_pool: reduced by what is taken.
+    :param releasable_by_pool: decremented for each selected machine.
     """
-    taken: list[str] = []
+    selected: list[str] = []
     for machine in machines:
-        if len(taken) >= most:
+        if len(selected) >= limit:
             break
         if machine.missed:
             if releasable_by_pool.get(machine.pool, 0) <= 0:
                 continue
             releasable_by_pool[machine.pool] -= 1
-        taken.append(machine.machine_id)
-    return tuple(taken)
+        selected.append(machine.machine_id)
+    return tuple(selected)
 
 
 def may_stop_long_running(
     others_away: int, may_miss: int | None, default_may_miss: int = 1
 ) -> bool:
-    """Whether one more lasting task of a step may be taken away now."""
+    """Whether one more long-running task of a step may be stopped now."""
     limit = default_may_miss if may_miss is None else may_miss
     return others_away < limit
 
 
 def count_unavailable(at_work: t.Iterable[bool]) -> int:
-    """Return how many tasks are not at work."""
+    """Return how many tasks are not working.
+
+    :param at_work: whether each task is working.
+    """
     return sum(not working for working in at_work)
--- a/src/streamthread/upkeep/progress.py
+++ b/src/streamthread/upkeep/progress.py
@@ -1,4 +1,4 @@
-"""How far a wave has come, as it is kept for the next holder."""
+"""The progress of a wave, as it is persisted for the next holder."""
 
 import json
 
@@ -14,11 +14,11 @@
 
 @attrs.define
 class WaveProgress:
-    """One wave's progress.
+    """The progress of one wave.
 
-    :param first_seen_s: wall time at which a holder first knew of the wave.
+    :param first_seen_s: the wall time at which a holder first saw the wave.
     :param begun: machines whose upkeep the platform has accepted.
-    :param told: what was last written for the operator.
+    :param told: the last status that was written for the operator.
     """
 
     number: int
@@ -27,16 +27,16 @@
     told: str = ""
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Encode the row's value."""
         return json.dumps(
             [self.number, self.first_seen_s, sorted(self.begun), self.told]
         ).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> "WaveProgress":
-        """Return what a row's value says.
+        """Decode a row's value.
 
-        :raises UnreadableError: it tells of no wave.
+        :raises UnreadableError: the value does not describe a wave.
         """
         row = _ROWS.decode(value, "wave")
         return cls(row.number, row.first_seen_s, set(row.begun), row.told)
--- a/src/streamthread/upkeep/tests/test_plan.py
+++ b/src/streamthread/upkeep/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Which machines of a wave go down, under any view."""
+"""Tests which machines of a wave go down, for arbitrary states of the wave."""
 
 import collections
 
@@ -54,7 +54,7 @@
         for pool, count in given_up.items():
             assert count <= max(0, releasable_by_pool[pool])
 
-    def test_begins_with_machines_that_are_off(self) -> None:
+    def test_begins_with_machines_in_spare_pools(self) -> None:
         due = (
             DueMachine("a", "one", idle=True, off=False),
             DueMachine("b", "spare", idle=True, off=True),
@@ -63,7 +63,7 @@
         plan = plan_upkeep(WaveView(due, 1, releasable_by_pool), UpkeepSettings())
         assert plan.begin == ("b",)
 
-    def test_leaves_a_pool_what_it_needs(self) -> None:
+    def test_leaves_a_pool_the_machines_that_it_needs(self) -> None:
         due = tuple(
             DueMachine(name, "one", idle=name < "c", off=False) for name in "abcd"
         )
@@ -71,14 +71,14 @@
         assert plan.begin == ("a", "b")
         assert len(plan.empty) == 1
 
-    def test_takes_machines_that_nobody_misses(self) -> None:
+    def test_selects_machines_that_do_not_reduce_their_pool(self) -> None:
         due = (DueMachine("a", "one", idle=True, off=False, missed=False),)
         plan = plan_upkeep(WaveView(due, 1, {"one": 0}), UpkeepSettings())
         assert plan.begin == ("a",)
 
 
-class TestLasting:
-    def test_one_more_is_stopped_only_below_the_limit(self) -> None:
+class TestLongRunning:
+    def test_is_stopped_only_while_fewer_than_the_limit_are_away(self) -> None:
         assert may_stop_long_running(0, 1)
         assert not may_stop_long_running(1, 1)
         assert not may_stop_long_running(0, 0)
@@ -86,6 +86,6 @@
 
 
 class TestProgress:
-    def test_comes_back_from_its_row(self) -> None:
+    def test_survives_encoding_and_decoding(self) -> None:
         progress = WaveProgress(3, 12.5, {"m1", "m2"}, "running")
         assert WaveProgress.decode(progress.encode()) == progress
