--- a/src/streamthread/sharing/__init__.py
+++ b/src/streamthread/sharing/__init__.py
@@ -1,4 +1,4 @@
-"""How fast tasks that fill may work beside tasks that serve."""
+"""Controls how fast filling tasks may work on the same runner as serving tasks."""
 
 from .control import next_pace
 from .control import SharingSettings
--- a/src/streamthread/sharing/control.py
+++ b/src/streamthread/sharing/control.py
@@ -1,27 +1,28 @@
-"""The pace of filling tasks, from the tail latency of a serving one beside them.
+"""Controls the pace of filling tasks by the tail latency of a serving task.
 
-Additive increase, multiplicative decrease: the figures are rough and half a
-second old, and the effect of filling on serving changes within seconds.
+The control uses additive increase and multiplicative decrease: the latencies are
+imprecise and half a second old, and the effect of filling tasks on serving tasks
+changes within seconds.
 """
 
 import attrs
 
-__all__ = ["FULL_PACE", "SharingSettings", "next_pace"]
+__all__ = ["FULL_PACE_PERCENT", "SharingSettings", "next_pace"]
 
-FULL_PACE = 100
+FULL_PACE_PERCENT = 100
 
 
 @attrs.frozen
 class SharingSettings:
-    """The gains of the control.
-
-    :param slow_at: of the target: above it, filling slows down.
-    :param stop_at: of the target: above it, filling stops at once.
-    :param raise_below: of the target: below it, filling speeds up.
-    :param slow_factor: what is left of the pace at each step down; four steps
-        of under a second end below ``least_pace``, within the time after which
-        a task over its target counts as harmed (4 s).
-    :param raise_by: added to the pace at each step up, in percent.
+    """The thresholds and gains of the control.
+
+    :param slow_at: above this fraction of the target latency, filling slows down.
+    :param stop_at: above this fraction of the target latency, filling stops at once.
+    :param raise_below: below this fraction of the target latency, filling speeds up.
+    :param slow_factor: the factor by which the pace is multiplied at each step down.
+        Four steps of less than a second each bring it below ``least_pace``, within the
+        4 s after which a task that exceeds its target counts as harmed.
+    :param raise_by: percentage points that are added to the pace at each step up.
     :param least_pace: a lower pace is set to 0.
     """
 
@@ -36,7 +37,7 @@
 def next_pace(
     pace: int, tail_ms: float, target_ms: float, settings: SharingSettings
 ) -> int:
-    """Return the pace that filling tasks should work at from now on."""
+    """Return the next pace of the filling tasks, in percent."""
     load = tail_ms / target_ms
     if load > settings.stop_at:
         return 0
@@ -44,5 +45,5 @@
         slower = int(pace * settings.slow_factor)
         return slower if slower >= settings.least_pace else 0
     if load < settings.raise_below:
-        return min(FULL_PACE, pace + settings.raise_by)
+        return min(FULL_PACE_PERCENT, pace + settings.raise_by)
     return pace
--- a/src/streamthread/sharing/plan.py
+++ b/src/streamthread/sharing/plan.py
@@ -1,11 +1,11 @@
-"""Which filling tasks of a runner get another pace now."""
+"""Decides which filling tasks of a runner get a new pace."""
 
 import attrs
 
 from ..scheduler import Attempt
 from ..scheduler import Phase
 from ..scheduler import RunnerState
-from .control import FULL_PACE
+from .control import FULL_PACE_PERCENT
 from .control import next_pace
 from .control import SharingSettings
 
@@ -14,16 +14,17 @@
 
 @attrs.frozen
 class PaceOrder:
-    """Lets one run work at a share of its speed, in percent."""
+    """An order that limits one run to a percentage of its full speed."""
 
     attempt: Attempt
     percent: int
 
 
 def plan_paces(runner: RunnerState, settings: SharingSettings) -> list[PaceOrder]:
-    """Return the orders after a new list of a runner.
+    """Return the pace orders that follow from a runner's latest list.
 
-    The serving task that is worst off beside its target decides for all.
+    The serving task with the highest ratio of latency to target determines the pace of
+    all filling tasks.
     """
     running = [a for a in runner.attempts.values() if a.phase is Phase.CONFIRMED]
     filling = [a for a in running if a.task.step.request.fills]
@@ -40,8 +41,10 @@
     )
     orders: list[PaceOrder] = []
     for attempt in filling:
-        known = FULL_PACE if attempt.pace_percent is None else attempt.pace_percent
-        wanted = FULL_PACE
+        known = (
+            FULL_PACE_PERCENT if attempt.pace_percent is None else attempt.pace_percent
+        )
+        wanted = FULL_PACE_PERCENT
         if worst is not None:
             serving = worst[1]
             target_ms = serving.task.step.request.target_ms
--- a/src/streamthread/sharing/tests/test_sharing.py
+++ b/src/streamthread/sharing/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""The pace of filling tasks, on a model of what they do to serving ones."""
+"""Tests the pace of filling tasks on a model of their effect on serving tasks."""
 
 import time
 
@@ -18,7 +18,7 @@
 SETTINGS = SharingSettings()
 TARGET_MS = 100.0
 STEP_S = 0.85
-"""A list comes at least this often: the wait of a hold and its way."""
+"""Maximum interval between lists: the wait of a hold call and its transmission."""
 
 HARM_S = 4.0
 
@@ -29,7 +29,7 @@
 
 class TestControl:
     @given(st.floats(5, 85), st.floats(0, 1000))
-    def test_ends_harm_in_time(self, alone_ms: float, effect_ms: float) -> None:
+    def test_ends_overload_in_time(self, alone_ms: float, effect_ms: float) -> None:
         pace = 100
         over_s = 0.0
         for _ in range(40):
@@ -38,7 +38,7 @@
             assert over_s < HARM_S
             pace = next_pace(pace, tail_ms, TARGET_MS, SETTINGS)
 
-    def test_comes_back_to_full_pace_where_nothing_is_disturbed(self) -> None:
+    def test_returns_to_full_pace_if_no_task_is_slowed(self) -> None:
         pace = 0
         for _ in range(12):
             pace = next_pace(pace, 10.0, TARGET_MS, SETTINGS)
@@ -57,7 +57,7 @@
 
 
 class TestPlan:
-    def test_slows_only_what_fills(self) -> None:
+    def test_slows_only_filling_tasks(self) -> None:
         runner = RunnerState("i-1", "desk", "x:1", "z", ("a",), 9, 9, 0)
         serving = _attempt(StepRequest(target_ms=TARGET_MS, lasting=True), 120.0)
         filling = _attempt(StepRequest(fills=True), 300.0)
@@ -67,7 +67,7 @@
         assert order.attempt is filling
         assert order.percent == 40
 
-    def test_sets_a_pace_that_an_earlier_holder_may_have_left(self) -> None:
+    def test_resets_a_pace_that_an_earlier_holder_may_have_set(self) -> None:
         runner = RunnerState("i-1", "desk", "x:1", "z", ("a",), 9, 9, 0)
         filling = _attempt(StepRequest(fills=True), None)
         filling.pace_percent = None
