--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -300,7 +300,7 @@
         if self.listed:
             self._owner.on_all_expired(self)
         else:
-            self._end("unanswered, expired and no longer listed")
+            self._end("silent, expired and no longer listed")
 
     def _end(self, why: str) -> None:
         if self.over:
