--- a/src/streamthread/cell/taking.py
+++ b/src/streamthread/cell/acquisition.py
@@ -12,9 +12,7 @@
 from ..platform.store import Condition
 from ..platform.store import RowStore
 from ..platform.store import StoredRow
-from .answers import AnswerTimes
-from .answers import version_written
-from .book import OwnerBook
+from .owner_registry import OwnerRegistry
 from .peer import PeerLinks
 from .rows import Head
 from .rows import HEAD_KEY
@@ -24,28 +22,30 @@
 from .rows import TABLE_HEAD
 from .rows import TABLE_OWNER
 from .takeover import AcquiredCell
-from .takeover import Standstill
+from .takeover import StalledCommits
 from .takeover import Suspicion
 from .times import LeaseTimes
+from .write_outcomes import ResponseTimes
+from .write_outcomes import version_written
 
 __all__ = ["OwnerWriter"]
 
 log = logbook.Logger("streamthread.cell")
 
-NOBODY_BEFORE = (Suspicion.VACANT, Suspicion.OWN_EARLIER_LIFE)
+NO_EARLIER_HOLDER = (Suspicion.VACANT, Suspicion.OWN_EARLIER_INCARNATION)
 """No other daemon can still order anything."""
 
 REFUSED_PAUSE_S = 0.1
 """Pause after the store refused a take-over, or the read before it."""
 
-Hesitate = t.Callable[[Suspicion, Owner | None], float]
+GetDelay = t.Callable[[Suspicion, Owner | None], float]
 """Returns how long to leave the cell to better candidates, in seconds."""
 
 
 class OwnerWriter:
     """Takes the cell over for one daemon, and releases it.
 
-    :param name_self: returns this daemon as the owner under a fencing token.
+    :param as_owner: returns this daemon as the owner under a fencing token.
     :param stopping: whether the daemon is about to stop, and takes nothing.
     """
 
@@ -53,57 +53,57 @@
         self,
         store: RowStore,
         part: str,
-        book: OwnerBook,
+        registry: OwnerRegistry,
         peers: PeerLinks,
         times: LeaseTimes,
-        hesitate: Hesitate,
-        name_self: t.Callable[[int], Owner],
+        get_delay_s: GetDelay,
+        as_owner: t.Callable[[int], Owner],
         stopping: t.Callable[[], bool],
     ) -> None:
         self._store = store
         self._part = part
-        self._book = book
+        self._registry = registry
         self._peers = peers
         self._times = times
-        self._hesitate = hesitate
-        self._name_self = name_self
+        self._get_delay_s = get_delay_s
+        self._as_owner = as_owner
         self._stopping = stopping
-        self._answers = AnswerTimes()
+        self._response_times = ResponseTimes()
 
-    async def take(
+    async def acquire(
         self,
         suspicion: Suspicion,
-        standstill: Standstill | None = None,
+        stalled_commits: StalledCommits | None = None,
         suspected_at_s: float = 0.0,
     ) -> AcquiredCell | None:
         """Try to become the holder; None if the cell is left to another.
 
-        :param standstill: what is known of the holder's commits.
+        :param stalled_commits: what is known of the holder's commits.
         :param suspected_at_s: when the suspicion arose, on the boot clock.
         """
-        owner = self._book.owner
-        if not await self._may_take(suspicion, owner, suspected_at_s):
+        owner = self._registry.owner
+        if not await self._may_acquire(suspicion, owner, suspected_at_s):
             return None
         # Whoever takes the cell from here on changes the row, and ends this try.
-        seen_version = self._book.version
-        await asyncio.sleep(self._hesitate(suspicion, owner))
-        if self._book.owner is not owner or self._stopping():
+        seen_version = self._registry.version
+        await asyncio.sleep(self._get_delay_s(suspicion, owner))
+        if self._registry.owner is not owner or self._stopping():
             return None
-        if suspicion is Suspicion.DOUBTFUL and await self._is_sure_again(owner):
+        if suspicion is Suspicion.CANNOT_COMMIT and await self._has_recovered(owner):
             return None
-        return await self._write(suspicion, standstill, owner, seen_version)
+        return await self._write(suspicion, stalled_commits, owner, seen_version)
 
-    async def _may_take(
+    async def _may_acquire(
         self, suspicion: Suspicion, owner: Owner | None, suspected_at_s: float
     ) -> bool:
         """Whether the store still names the suspected holder, and a change helps."""
         asked_at_s = boot_s()
-        if not await self._book.reread():
+        if not await self._registry.reread():
             await asyncio.sleep(REFUSED_PAUSE_S)
             return False
-        if self._book.owner is not owner:
+        if self._registry.owner is not owner:
             return False
-        doubtful = suspicion is Suspicion.DOUBTFUL
+        doubtful = suspicion is Suspicion.CANNOT_COMMIT
         return not doubtful or not self._is_slow_for_all(asked_at_s, suspected_at_s)
 
     def _is_slow_for_all(self, asked_at_s: float, suspected_at_s: float) -> bool:
@@ -116,9 +116,11 @@
         slow = now_s - asked_at_s > self._times.slow_read_s
         return slow and now_s - suspected_at_s < self._times.slow_patience_s
 
-    async def _is_sure_again(self, owner: Owner | None) -> bool:
+    async def _has_recovered(self, owner: Owner | None) -> bool:
         """Whether the holder commits again, since the store serves all of us."""
-        if owner is None or not await self._peers.is_sure(owner.address, owner.token):
+        if owner is None or not await self._peers.can_commit(
+            owner.address, owner.token
+        ):
             return False
         log.info("holder-sure-again", extra={"holder": owner.daemon_id})
         return True
@@ -126,16 +128,16 @@
     async def _write(
         self,
         suspicion: Suspicion,
-        standstill: Standstill | None,
+        stalled_commits: StalledCommits | None,
         before: Owner | None,
         seen_version: int,
     ) -> AcquiredCell | None:
-        mine = self._name_self((before.token if before else 0) + 1)
+        mine = self._as_owner((before.token if before else 0) + 1)
         began_at_s = boot_s()
-        version = await self._write_owner(mine, seen_version, standstill)
-        if version is None and standstill is not None:
+        version = await self._write_owner(mine, seen_version, stalled_commits)
+        if version is None and stalled_commits is not None:
             # It has committed since, or its last commit was never confirmed to it.
-            standstill = None
+            stalled_commits = None
             began_at_s = boot_s()
             version = await self._write_owner(mine, seen_version)
         if version is None:
@@ -147,40 +149,45 @@
                 "token": mine.token,
                 "before": before.daemon_id if before else "",
                 "version": version,
-                "stood_still": standstill is not None,
+                "stood_still": stalled_commits is not None,
             },
         )
-        self._book.note_written(mine, version)
-        exclusive_from_s = self._alone_at_s(suspicion, standstill, began_at_s)
+        self._registry.on_written(mine, version)
+        exclusive_from_s = self._exclusive_from_s(
+            suspicion, stalled_commits, began_at_s
+        )
         return AcquiredCell(mine, version, began_at_s, exclusive_from_s)
 
-    def _alone_at_s(
-        self, suspicion: Suspicion, standstill: Standstill | None, acquired_at_s: float
+    def _exclusive_from_s(
+        self,
+        suspicion: Suspicion,
+        stalled_commits: StalledCommits | None,
+        acquired_at_s: float,
     ) -> float:
         """Return from when on no earlier holder sends an order.
 
         Its commits end with the take-over, so that its trust in the last of them
         bounds what it orders, unless we know better.
         """
-        if suspicion in NOBODY_BEFORE:
+        if suspicion in NO_EARLIER_HOLDER:
             return -math.inf
         if suspicion is Suspicion.RELEASED:
             return acquired_at_s
-        if standstill is not None:
-            return standstill.exclusive_from_s
+        if stalled_commits is not None:
+            return stalled_commits.exclusive_from_s
         return acquired_at_s + self._times.max_validity_s
 
-    async def release(self, taken: AcquiredCell, successor: str) -> bool:
+    async def release(self, acquired: AcquiredCell, successor: str) -> bool:
         """Give the cell up in order, naming who should take over.
 
         :return: whether the store has taken it.
         """
-        owner = attrs.evolve(taken.owner, released=True, successor=successor)
-        version = await self._write_owner(owner, self._book.version)
+        owner = attrs.evolve(acquired.owner, released=True, successor=successor)
+        version = await self._write_owner(owner, self._registry.version)
         if version is None:
             log.warning("cell-not-released", extra={"token": owner.token})
             return False
-        self._book.note_written(owner, version)
+        self._registry.on_written(owner, version)
         log.info(
             "cell-released",
             extra={"token": owner.token, "successor": successor, "version": version},
@@ -188,19 +195,22 @@
         return True
 
     async def _write_owner(
-        self, owner: Owner, seen_version: int, standstill: Standstill | None = None
+        self,
+        owner: Owner,
+        seen_version: int,
+        stalled_commits: StalledCommits | None = None,
     ) -> int | None:
         """Return the rows' version, or None where another daemon has it.
 
         The head row is replaced too, which ends all commits from before.
 
         :param seen_version: of the owner row on which this was decided.
-        :param standstill: require that the head row has not changed since.
+        :param stalled_commits: require that the head row has not changed since.
         """
         head = Head(new_nonce(), owner.token)
         conditions = [Condition(TABLE_OWNER, self._part, OWNER_KEY, seen_version)]
-        if standstill is not None:
-            version = standstill.head_version
+        if stalled_commits is not None:
+            version = stalled_commits.head_version
             conditions.append(Condition(TABLE_HEAD, self._part, HEAD_KEY, version))
         puts = [
             StoredRow(TABLE_OWNER, self._part, OWNER_KEY, owner.encode()),
@@ -209,7 +219,7 @@
         write = self._store.transact(conditions, puts)
         try:
             written = await version_written(
-                write, lambda: self._book.look_for(owner), self._answers
+                write, lambda: self._registry.find_version(owner), self._response_times
             )
         except StoreUnavailableError:
             await asyncio.sleep(REFUSED_PAUSE_S)
--- a/src/streamthread/cell/commits.py
+++ b/src/streamthread/cell/commits.py
@@ -13,8 +13,6 @@
 from ..platform.store import Condition
 from ..platform.store import RowStore
 from ..platform.store import StoredRow
-from .answers import AnswerTimes
-from .answers import version_written
 from .reading import head_or_none
 from .reading import read_or_none
 from .rows import Head
@@ -22,16 +20,18 @@
 from .rows import new_nonce
 from .rows import TABLE_HEAD
 from .times import LeaseTimes
+from .write_outcomes import ResponseTimes
+from .write_outcomes import version_written
 
 __all__ = ["CommitLog", "Encode"]
 
 Encode = t.Callable[[], bytes | None]
 """Returns a row's value at the moment of the commit; None drops the row."""
 
-MOST_ROWS = 90
+MAX_ROWS = 90
 """Below the store's limit of 100 entries, with room for the head row."""
 
-MOST_BYTES = 180_000
+MAX_BYTES = 180_000
 """Of values in one transaction, and one row of 64 KB more. As base64 it crosses the
 smallest links (5 Mbit/s) in 0.53 s, before its holder doubts that it can commit; 600
 KB would take 1.4 s there, and the cell would go from one such holder to the next."""
@@ -39,10 +39,10 @@
 SLOW_COMMIT_S = 0.35
 """A commit takes 7 ms; under a store 60 times slower, 300 ms."""
 
-RETRY_FIRST_S = 0.05
+RETRY_MIN_S = 0.05
 """Pause before the second try while the store fails; it doubles with each."""
 
-RETRY_MOST_S = 0.2
+RETRY_MAX_S = 0.2
 """The longest pause between tries: followers leave a doubtful holder 0.25 s once the
 store serves them again."""
 
@@ -83,7 +83,7 @@
         self._sent_term_s = math.inf
         # When the try was sent that took effect, or the last one.
         self._effective_at_s = confirmed_at_s
-        self._took_s: collections.deque[float] = collections.deque(maxlen=2)
+        self._durations_s: collections.deque[float] = collections.deque(maxlen=2)
         self._store = store
         self._part = part
         self._token = token
@@ -96,7 +96,7 @@
         self._current: asyncio.Future[None] = _future()
         self._next: asyncio.Future[None] = _future()
         self._wake = asyncio.Event()
-        self._answers = AnswerTimes()
+        self._response_times = ResponseTimes()
         self.confirmed_at_s = confirmed_at_s
         self.failing_since_s: float | None = None
         self.trying_since_s: float | None = None
@@ -132,7 +132,7 @@
     @property
     def commit_s(self) -> float:
         """How long the slower one of the last two commits took."""
-        return max(self._took_s, default=0.0)
+        return max(self._durations_s, default=0.0)
 
     @property
     def term_s(self) -> float:
@@ -203,7 +203,7 @@
         try:
             while True:
                 await self._wait_for_work()
-                await self._commit(self._take())
+                await self._commit(self._next_batch())
         except BaseException as error:
             self.lost = True
             self._fail_waiters(error)
@@ -222,13 +222,13 @@
         except TimeoutError:
             return
 
-    def _take(self) -> _Batch:
+    def _next_batch(self) -> _Batch:
         """Return the oldest changes that fit into one transaction."""
         rows: list[StoredRow] = []
         drops: list[StoredRow] = []
         size = 0
-        while self._dirty and len(rows) + len(drops) < MOST_ROWS:
-            if size > MOST_BYTES:
+        while self._dirty and len(rows) + len(drops) < MAX_ROWS:
+            if size > MAX_BYTES:
                 break
             (table, key), encode = self._dirty.popitem(last=False)
             self._in_flight.add((table, key))
@@ -251,19 +251,19 @@
 
     async def _commit(self, batch: _Batch) -> None:
         tries: dict[str, float] = {}
-        pause_s = RETRY_FIRST_S
+        pause_s = RETRY_MIN_S
         self.trying_since_s = boot_s()
         while True:
             began_at_s = boot_s()
             version = await self._try(batch, tries)
             if version:
-                self._took_s.append(boot_s() - began_at_s)
+                self._durations_s.append(boot_s() - began_at_s)
                 self._confirm(batch, version)
                 return
             if self.failing_since_s is None and self.tried_for_s() > SLOW_COMMIT_S:
                 self.failing_since_s = began_at_s
             await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * 2, RETRY_MOST_S)
+            pause_s = min(pause_s * 2, RETRY_MAX_S)
 
     def _confirm(self, batch: _Batch, version: int) -> None:
         self._confirmed_term_s = self._sent_term_s
@@ -295,14 +295,14 @@
         write = self._store.transact([condition], [*batch.rows, head], batch.drops)
         try:
             return await version_written(
-                write, lambda: self._look(tries), self._answers
+                write, lambda: self._find_effective_try(tries), self._response_times
             )
         except StoreUnavailableError:
             if self.failing_since_s is None:
                 self.failing_since_s = self.trying_since_s
             return 0
 
-    async def _look(self, tries: dict[str, float]) -> int | None:
+    async def _find_effective_try(self, tries: dict[str, float]) -> int | None:
         """Find out whether one of our tries took effect.
 
         The commit counts from when that one was sent: who wants to take over counts
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -13,14 +13,14 @@
 from ..platform.store import RowStore
 from ..unreadable import UnreadableNotes
 from . import cell_pb2 as pb
-from .book import OwnerBook
-from .hesitation import Hesitation
+from .acquisition import OwnerWriter
+from .acquisition_delay import AcquisitionDelay
 from .members import Members
+from .owner_registry import OwnerRegistry
 from .peer import PeerLinks
 from .rows import Owner
 from .takeover import AcquiredCell
 from .takeover import Suspicion
-from .taking import OwnerWriter
 from .times import LeaseTimes
 from .watch import HolderWatch
 
@@ -36,7 +36,7 @@
     """Follows the cell's holder, and takes over when it is gone.
 
     :param cores: how much processor this daemon has; the holder uses most of all.
-    :param on_taken: called with what was taken; returns when the cell is lost.
+    :param on_acquired: called with what was acquired; returns when the cell is lost.
     :param on_replaced: called while holding, when another holder is known.
     :param notes: is told of rows of the cell that can't be read.
     :param failures: is told of what failed and nobody foresaw.
@@ -52,7 +52,7 @@
         peers: PeerLinks,
         times: LeaseTimes,
         cores: float,
-        on_taken: t.Callable[[AcquiredCell], t.Awaitable[None]],
+        on_acquired: t.Callable[[AcquiredCell], t.Awaitable[None]],
         on_replaced: t.Callable[[], None],
         notes: UnreadableNotes | None = None,
         failures: Failures | None = None,
@@ -64,24 +64,24 @@
         self.address = address
         self._peers = peers
         self.times = times
-        self._on_taken = on_taken
+        self._on_acquired = on_acquired
         self._on_replaced = on_replaced
-        self.book = OwnerBook(store, part, self._on_owner, notes)
+        self.registry = OwnerRegistry(store, part, self._on_owner, notes)
         self.members = Members(
-            store, part, daemon_id, peers, cores, self.book.hear, notes
+            store, part, daemon_id, peers, cores, self.registry.on_peer_report, notes
         )
-        hesitation = Hesitation(
+        delay = AcquisitionDelay(
             self.members, daemon_id, times, cores, random.Random(incarnation)
         )
-        self._watch = HolderWatch(store, part, daemon_id, self.book, peers, times)
+        self._watch = HolderWatch(store, part, daemon_id, self.registry, peers, times)
         self._writer = OwnerWriter(
             store,
             part,
-            self.book,
+            self.registry,
             peers,
             times,
-            hesitation.before_taking_s,
-            self._name_self,
+            delay.before_acquisition_s,
+            self._as_owner,
             lambda: self.stopping,
         )
         self.holding = False
@@ -91,9 +91,9 @@
     @property
     def owner(self) -> Owner | None:
         """The newest owner that is known."""
-        return self.book.owner
+        return self.registry.owner
 
-    def _name_self(self, token: int) -> Owner:
+    def _as_owner(self, token: int) -> Owner:
         return Owner(self._daemon_id, self._incarnation, self.address, token)
 
     def _on_owner(self, owner: Owner) -> None:
@@ -103,11 +103,11 @@
 
     def news(self) -> pb.OwnerNews:
         """Return what a peer should know of the holder."""
-        return self.book.news()
+        return self.registry.news()
 
     def is_holder_alive(self) -> bool:
         """Whether a holder that can commit has been heard just now."""
-        return self._peers.heard_within(self.times.beat_lost_s)
+        return self._peers.received_within(self.times.beat_lost_s)
 
     @Service.task
     async def _run_members(self) -> None:
@@ -115,8 +115,8 @@
         await self.wait(self._keeper.keep("members", join))
 
     @Service.task
-    async def _run_book(self) -> None:
-        watch = functools.partial(self.book.watch, self.times.feed_wait_s)
+    async def _run_registry(self) -> None:
+        watch = functools.partial(self.registry.watch, self.times.feed_wait_s)
         await self.wait(self._keeper.keep("owner", watch))
 
     @Service.task
@@ -125,38 +125,38 @@
 
     async def _follow(self) -> None:
         """Follow whoever holds the cell; take over when it may be replaced."""
-        await self.book.known.wait()
+        await self.registry.known.wait()
         while True:
-            self.book.changed.clear()
+            self.registry.changed.clear()
             suspicion = await self._watch.observe()
             if suspicion is Suspicion.NONE or self.stopping:
                 await asyncio.sleep(RECHECK_S)
                 continue
-            taken = await self._writer.take(
-                suspicion, self._watch.standstill, self._watch.suspected_at_s
+            acquired = await self._writer.acquire(
+                suspicion, self._watch.stalled_commits, self._watch.suspected_at_s
             )
-            if taken is not None:
-                await self._hold(taken)
-            elif self.owner is not None and suspicion is Suspicion.DOUBTFUL:
+            if acquired is not None:
+                await self._hold(acquired)
+            elif self.owner is not None and suspicion is Suspicion.CANNOT_COMMIT:
                 # Most likely the store is down for all of us.
                 await asyncio.sleep(self.times.retry_s)
 
-    async def _hold(self, taken: AcquiredCell) -> None:
+    async def _hold(self, acquired: AcquiredCell) -> None:
         self.takeovers += 1
         self.holding = True
         self.members.announce_soon(self.news())
         try:
-            await self._on_taken(taken)
+            await self._on_acquired(acquired)
         finally:
             self.holding = False
-            log.warning("cell-lost", extra={"token": taken.owner.token})
+            log.warning("cell-lost", extra={"token": acquired.owner.token})
 
-    async def release(self, taken: AcquiredCell, successor: str) -> bool:
+    async def release(self, acquired: AcquiredCell, successor: str) -> bool:
         """Give the cell up in order, naming who should take over.
 
         :return: whether the store has taken it.
         """
-        released = await self._writer.release(taken, successor)
+        released = await self._writer.release(acquired, successor)
         if released:
             self.members.announce_soon(self.news())
         return released
--- a/src/streamthread/cell/members.py
+++ b/src/streamthread/cell/members.py
@@ -26,10 +26,10 @@
 RETRY_S = 0.25
 """Pause before the store, or a peer that did not answer, is tried again."""
 
-LARGER_TIMES = 1.2
+LARGER_FACTOR = 1.2
 """A peer counts as larger with this many times our processor."""
 
-MOST_TOLD_AT_ONCE = 32
+MAX_CONCURRENT_ANNOUNCEMENTS = 32
 """Peers that are told side by side: with 300 of them, channels to all take 9 MB at the
 one that tells. Told in turns of 10 ms, the last one hears 0.1 s later."""
 
@@ -43,7 +43,7 @@
     A daemon that the store turns away learns of a new holder from its peers.
 
     :param cores: how much processor this daemon has.
-    :param hear: takes what a peer says of the holder.
+    :param on_owner_update: takes what a peer says of the holder.
     :param notes: is told of members whose rows can't be read.
     """
 
@@ -54,25 +54,25 @@
         daemon_id: str,
         peers: PeerLinks,
         cores: float,
-        hear: t.Callable[[pb.OwnerNews], None],
+        on_owner_update: t.Callable[[pb.OwnerNews], None],
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
         self._store = store
         self._part = part
-        self._me = daemon_id
+        self._daemon_id = daemon_id
         self._peers = peers
         self._cores = cores
-        self._hear = hear
+        self._on_owner_update = on_owner_update
         self._tasks: set[asyncio.Task[None]] = set()
-        self._telling = asyncio.Semaphore(MOST_TOLD_AT_ONCE)
+        self._announce_slots = asyncio.Semaphore(MAX_CONCURRENT_ANNOUNCEMENTS)
         self.addresses: dict[str, str] = {}
         self._peers_cores: dict[str, float] = {}
 
     async def join(self, news: t.Callable[[], pb.OwnerNews]) -> None:
         """Write our row, read the others' and greet them."""
         row = StoredRow(
-            TABLE_MEMBERS, self._part, self._me, self._peers.address.encode()
+            TABLE_MEMBERS, self._part, self._daemon_id, self._peers.address.encode()
         )
         while not await self._join_once(row):
             await asyncio.sleep(RETRY_S)
@@ -86,11 +86,11 @@
             log.warning("members-unreadable", extra={"error": str(error)})
             return False
         for other in page.rows:
-            if other.key != self._me and other.value is not None:
-                self._learn(other.key, other.value)
+            if other.key != self._daemon_id and other.value is not None:
+                self._add_member(other.key, other.value)
         return True
 
-    def _learn(self, daemon_id: str, value: bytes) -> None:
+    def _add_member(self, daemon_id: str, value: bytes) -> None:
         try:
             address = decode_address(daemon_id, value)
         except UnreadableError as error:
@@ -100,30 +100,30 @@
 
     def on_announcement(self, announcement: pb.Announcement) -> None:
         """Take a peer's announcement."""
-        if announcement.daemon_id and announcement.daemon_id != self._me:
+        if announcement.daemon_id and announcement.daemon_id != self._daemon_id:
             if is_host_port(announcement.address):
                 self.addresses[announcement.daemon_id] = announcement.address
             self._peers_cores[announcement.daemon_id] = announcement.cores
-        self._hear(announcement.owner)
+        self._on_owner_update(announcement.owner)
 
     def announcement(self, owner: pb.OwnerNews) -> pb.Announcement:
         """Return what this daemon tells its peers of itself and the holder."""
         return pb.Announcement(
-            daemon_id=self._me,
+            daemon_id=self._daemon_id,
             address=self._peers.address,
             owner=owner,
             cores=self._cores,
         )
 
-    def has_larger(self, without: str) -> bool:
+    def has_larger_peer(self, excluding: str) -> bool:
         """Whether some peer has clearly more processor than this daemon.
 
-        :param without: a peer that does not count, since it seems to be gone.
+        :param excluding: a peer that does not count, since it seems to be gone.
         """
         return any(
-            cores > LARGER_TIMES * self._cores
+            cores > LARGER_FACTOR * self._cores
             for daemon_id, cores in self._peers_cores.items()
-            if daemon_id != without
+            if daemon_id != excluding
         )
 
     def largest(self, daemon_ids: t.Iterable[str]) -> str:
@@ -147,7 +147,7 @@
     ) -> None:
         for _ in range(ANNOUNCE_TRIES):
             try:
-                async with self._telling:
+                async with self._announce_slots:
                     answer = await self._peers.announce(address, news)
                 self.on_announcement(answer)
                 return
--- a/src/streamthread/cell/book.py
+++ b/src/streamthread/cell/owner_registry.py
@@ -22,7 +22,7 @@
 from .rows import OWNER_KEY
 from .rows import TABLE_OWNER
 
-__all__ = ["OwnerBook"]
+__all__ = ["OwnerRegistry"]
 
 log = logbook.Logger("streamthread.cell")
 
@@ -30,7 +30,7 @@
 """Pause after the owner row could not be read."""
 
 
-class OwnerBook:
+class OwnerRegistry:
     """The newest owner that this daemon has heard of.
 
     :param changed: set when another owner is known.
@@ -87,7 +87,7 @@
             self.adopt(row)
         return not self._unreadable
 
-    async def look_for(self, owner: Owner) -> int | None:
+    async def find_version(self, owner: Owner) -> int | None:
         """Return the version with which an owner stands in the row.
 
         :return: 0 where another one stands there, None where it cannot be read.
@@ -124,16 +124,16 @@
         self._unreadable = False
         return owner
 
-    def hear(self, news: pb.OwnerNews) -> None:
+    def on_peer_report(self, update: pb.OwnerNews) -> None:
         """Take from a peer who holds the cell, if we do not know better."""
         known = self.owner
         heard = Owner(
-            news.daemon_id,
-            news.incarnation,
-            news.address,
-            news.token,
-            news.released,
-            news.successor,
+            update.daemon_id,
+            update.incarnation,
+            update.address,
+            update.token,
+            update.released,
+            update.successor,
         )
         rank = (heard.token, heard.released)
         if not is_host_port(heard.address):
@@ -148,7 +148,7 @@
             return pb.OwnerNews()
         return pb.OwnerNews(**attrs.asdict(self.owner))
 
-    def note_written(self, owner: Owner, version: int) -> None:
+    def on_written(self, owner: Owner, version: int) -> None:
         """Know what we wrote ourselves, before the feed tells of it."""
         self.version = version
         self.owner = owner
--- a/src/streamthread/cell/peer.py
+++ b/src/streamthread/cell/peer.py
@@ -1,4 +1,4 @@
-"""The port between daemons: calls passed on, and the holder's beats."""
+"""The port between daemons: calls passed on, and the holder's heartbeats."""
 
 import asyncio
 import math
@@ -20,7 +20,7 @@
     "CallHandler",
     "CellEndpoint",
     "CellPort",
-    "HolderDoubtfulError",
+    "HolderCannotCommitError",
     "HolderSilentError",
     "HolderUnreachableError",
     "PeerLinks",
@@ -44,7 +44,7 @@
     """The holder's port is closed."""
 
 
-class HolderDoubtfulError(Exception):
+class HolderCannotCommitError(Exception):
     """The holder says that it cannot commit.
 
     :param head_version: of the head row, while it orders nothing until that changes;
@@ -63,20 +63,20 @@
 class CellEndpoint(CellBase):
     """The served side.
 
-    :param beat: returns the present beat, or None while not holding.
+    :param get_heartbeat: returns the present heartbeat, or None while not holding.
     """
 
     def __init__(
         self,
         handle: CallHandler,
-        beat: t.Callable[[], pb.Beat | None],
-        beat_s: float,
+        get_heartbeat: t.Callable[[], pb.Beat | None],
+        interval_s: float,
         announced: t.Callable[[pb.Announcement], pb.Announcement],
         explain: t.Callable[[pb.ExplainRequest], pb.ExplainReply],
     ) -> None:
         self._handle = handle
-        self._beat = beat
-        self._beat_s = beat_s
+        self._get_heartbeat = get_heartbeat
+        self._interval_s = interval_s
         self._announced = announced
         self._explain = explain
         self._following: dict[t.Any, pb.FollowRequest] = {}
@@ -110,9 +110,9 @@
         request = await stream.recv_message()
         self._following[stream] = request
         try:
-            while (beat := self._beat()) is not None:
-                await stream.send_message(beat)
-                await asyncio.sleep(self._beat_s)
+            while (heartbeat := self._get_heartbeat()) is not None:
+                await stream.send_message(heartbeat)
+                await asyncio.sleep(self._interval_s)
             raise GRPCError(Status.FAILED_PRECONDITION, "not the holder")
         finally:
             del self._following[stream]
@@ -145,11 +145,11 @@
         self._daemon_id = daemon_id
         self.address = address
         self._channels: dict[str, PeerChannel] = {}
-        self._beat_at_s = -math.inf
+        self._heartbeat_at_s = -math.inf
 
-    def heard_within(self, within_s: float) -> bool:
+    def received_within(self, within_s: float) -> bool:
         """Whether the last beat came so lately, and told of no doubt."""
-        return boot_s() - self._beat_at_s <= within_s
+        return boot_s() - self._heartbeat_at_s <= within_s
 
     def close(self) -> None:
         """Close all channels."""
@@ -249,45 +249,55 @@
 
         :raises HolderUnreachableError: its port is closed.
         :raises HolderSilentError: no beat came in time.
-        :raises HolderDoubtfulError: it cannot commit.
+        :raises HolderCannotCommitError: it cannot commit.
         """
         waiter = asyncio.ensure_future(changed.wait())
-        beats = asyncio.ensure_future(self._beats(address, token, silence_s))
+        heartbeats = asyncio.ensure_future(
+            self._follow_heartbeats(address, token, silence_s)
+        )
         try:
-            await asyncio.wait((waiter, beats), return_when=asyncio.FIRST_COMPLETED)
-            if beats.done():
-                beats.result()
+            await asyncio.wait(
+                (waiter, heartbeats), return_when=asyncio.FIRST_COMPLETED
+            )
+            if heartbeats.done():
+                heartbeats.result()
         finally:
             waiter.cancel()
-            beats.cancel()
+            heartbeats.cancel()
 
-    async def is_sure(self, address: str, token: int) -> bool:
+    async def can_commit(self, address: str, token: int) -> bool:
         """Whether a holder says now that it commits: its first beat tells."""
         channel = self._channel(address)
         try:
             with channel.calling():
-                beat = await self._first_beat(CellStub(channel))
+                heartbeat = await self._first_heartbeat(CellStub(channel))
         except UNANSWERED:
             self._drop(address, channel)
             return False
-        return beat is not None and beat.token >= token and not beat.doubtful
+        return (
+            heartbeat is not None
+            and heartbeat.token >= token
+            and not heartbeat.doubtful
+        )
 
-    async def _first_beat(self, stub: CellStub) -> pb.Beat | None:
+    async def _first_heartbeat(self, stub: CellStub) -> pb.Beat | None:
         async with asyncio.timeout(CONNECT_S):
             async with stub.Follow.open() as stream:
                 await stream.send_message(self._follow_request(), end=True)
-                beat = await stream.recv_message()
+                heartbeat = await stream.recv_message()
                 await stream.cancel()
-                return beat
+                return heartbeat
 
     def _follow_request(self) -> pb.FollowRequest:
         return pb.FollowRequest(daemon_id=self._daemon_id, address=self.address)
 
-    async def _beats(self, address: str, token: int, silence_s: float) -> None:
+    async def _follow_heartbeats(
+        self, address: str, token: int, silence_s: float
+    ) -> None:
         channel = self._channel(address)
         try:
             with channel.calling():
-                await self._hear_beats(CellStub(channel), token, silence_s)
+                await self._receive_heartbeats(CellStub(channel), token, silence_s)
         except TimeoutError as error:
             self._drop(address, channel)
             raise HolderSilentError from error
@@ -299,20 +309,22 @@
             self._drop(address, channel)
             await asyncio.sleep(RECONNECT_S)
 
-    async def _hear_beats(self, stub: CellStub, token: int, silence_s: float) -> None:
+    async def _receive_heartbeats(
+        self, stub: CellStub, token: int, silence_s: float
+    ) -> None:
         """Hear beats until another holder sends them, or this one doubts itself."""
         async with stub.Follow.open() as stream:
             async with asyncio.timeout(CONNECT_S):
                 await stream.send_message(self._follow_request(), end=True)
             while True:
                 async with asyncio.timeout(silence_s):
-                    beat = await stream.recv_message()
-                if beat is None or beat.token < token:
+                    heartbeat = await stream.recv_message()
+                if heartbeat is None or heartbeat.token < token:
                     return
-                if beat.doubtful:
-                    self._beat_at_s = -math.inf
-                    raise HolderDoubtfulError(beat.head_version)
-                self._beat_at_s = boot_s()
+                if heartbeat.doubtful:
+                    self._heartbeat_at_s = -math.inf
+                    raise HolderCannotCommitError(heartbeat.head_version)
+                self._heartbeat_at_s = boot_s()
 
 
 def _unavailable(error: Exception, remedy: str, address: str) -> PeerUnavailableError:
--- a/src/streamthread/cell/takeover.py
+++ b/src/streamthread/cell/takeover.py
@@ -7,7 +7,7 @@
 
 from .rows import Owner
 
-__all__ = ["AcquiredCell", "Standstill", "Suspicion"]
+__all__ = ["AcquiredCell", "StalledCommits", "Suspicion"]
 
 
 class Suspicion(enum.Enum):
@@ -16,14 +16,14 @@
     NONE = "none"
     VACANT = "vacant"
     RELEASED = "released"
-    OWN_EARLIER_LIFE = "own-earlier-life"
+    OWN_EARLIER_INCARNATION = "own-earlier-life"
     PROCESS_GONE = "process-gone"
     SILENT = "silent"
-    DOUBTFUL = "doubtful"
+    CANNOT_COMMIT = "doubtful"
 
 
 @attrs.frozen
-class Standstill:
+class StalledCommits:
     """Since when a holder orders nothing, unless it has committed again.
 
     A holder relies on its commits, and each of them changes the head row: one that
--- a/src/streamthread/cell/tests/test_commits.py
+++ b/src/streamthread/cell/tests/test_commits.py
@@ -61,7 +61,7 @@
         log = _log(None, failed=False)
         for number in range(20):
             log.mark("table", str(number), lambda: b"a" * ROW_BYTES)
-        batch = log._take()
+        batch = log._next_batch()
         values = [row.value for row in batch.rows if row.value is not None]
         sent_bytes = sum(len(base64.b64encode(value)) for value in values)
         assert sent_bytes / SMALLEST_LINK_BYTES_PER_S < TIMES.doubt_s
@@ -73,12 +73,12 @@
     def __init__(self) -> None:
         self.commits = 0
         self.may_answer = asyncio.Event()
-        self.taken = False
+        self.acquired = False
 
     async def transact(self, *args: t.Any) -> TransactResult:
         self.commits += 1
         await self.may_answer.wait()
-        return TransactResult(not self.taken, version=self.commits + 1)
+        return TransactResult(not self.acquired, version=self.commits + 1)
 
     async def read(self, table: str, part: str) -> Page:
         return Page((), 1)
@@ -117,7 +117,7 @@
 
     async def test_ends_with_the_loss_of_the_cell(self) -> None:
         store = _Store()
-        store.taken = True
+        store.acquired = True
         store.may_answer.set()
         log = CommitLog(t.cast(t.Any, store), "main", 1, 1, 0.0, RENEW_S)
         running = asyncio.ensure_future(log.run())
@@ -158,7 +158,7 @@
 
 class TestLateConfirmation:
     async def test_counts_from_the_try_that_took_effect(self) -> None:
-        """A follower counts the standstill from there, not from a later try."""
+        """A follower counts the stalled_commits from there, not from a later try."""
         store = _LossyStore()
         log = CommitLog(t.cast(t.Any, store), "main", 1, 1, 0.0, 0.01)
         running = asyncio.ensure_future(log.run())
@@ -190,7 +190,7 @@
 
     async def test_counts_once_it_is_confirmed(self) -> None:
         log = _log(None, failed=False)
-        log._took_s.append(0.85)
+        log._durations_s.append(0.85)
         log._sent_term_s = TIMES.term_s(log.commit_s)
         assert log.term_s == TIMES.trust_s
 
@@ -215,7 +215,7 @@
     async def test_is_none_that_a_transaction_carries(self) -> None:
         log = _log(None, failed=False)
         log.mark("table", "key", lambda: b"")
-        log._take()
+        log._next_batch()
         assert not log.unmark("table", "key")
         # Marked again meanwhile: the first change is on its way all the same.
         log.mark("table", "key", lambda: b"")
--- a/src/streamthread/cell/tests/test_lease.py
+++ b/src/streamthread/cell/tests/test_lease.py
@@ -16,7 +16,7 @@
 from streamthread.cell.rows import TABLE_HEAD
 from streamthread.cell.rows import TABLE_OWNER
 from streamthread.cell.takeover import AcquiredCell
-from streamthread.cell.takeover import Standstill
+from streamthread.cell.takeover import StalledCommits
 from streamthread.cell.takeover import Suspicion
 from streamthread.clocks import boot_s
 from streamthread.platform.store import ABSENT
@@ -66,17 +66,17 @@
 
     address = "127.0.0.1:2"
 
-    def __init__(self, sure: bool, meanwhile: t.Callable[[], None]) -> None:
-        self.sure = sure
+    def __init__(self, healthy: bool, meanwhile: t.Callable[[], None]) -> None:
+        self.healthy = healthy
         self.meanwhile = meanwhile
 
-    async def is_sure(self, address: str, token: int) -> bool:
+    async def can_commit(self, address: str, token: int) -> bool:
         self.meanwhile()
-        return self.sure
+        return self.healthy
 
 
 def _lease(store: _Store, peers: _Peers) -> CellLease:
-    async def on_taken(taken: object) -> None:
+    async def on_acquired(acquired: object) -> None:
         return None
 
     times = LeaseTimes(stagger_s=0.0, sure_again_s=0.0, slow_read_s=0.02)
@@ -89,46 +89,46 @@
         t.cast(t.Any, peers),
         times,
         1.0,
-        on_taken,
+        on_acquired,
         lambda: None,
     )
-    lease.book.adopt(store.rows[TABLE_OWNER, OWNER_KEY])
+    lease.registry.adopt(store.rows[TABLE_OWNER, OWNER_KEY])
     return lease
 
 
 class TestTakeOver:
     async def test_of_a_doubtful_holder_succeeds(self) -> None:
         store = _Store()
-        lease = _lease(store, _Peers(sure=False, meanwhile=lambda: None))
-        taken = await lease._writer.take(Suspicion.DOUBTFUL)
-        assert taken is not None
-        assert taken.owner.token == 2
+        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        acquired = await lease._writer.acquire(Suspicion.CANNOT_COMMIT)
+        assert acquired is not None
+        assert acquired.owner.token == 2
 
     async def test_is_left_when_the_holder_commits_again(self) -> None:
         store = _Store()
-        lease = _lease(store, _Peers(sure=True, meanwhile=lambda: None))
-        assert await lease._writer.take(Suspicion.DOUBTFUL) is None
+        lease = _lease(store, _Peers(healthy=True, meanwhile=lambda: None))
+        assert await lease._writer.acquire(Suspicion.CANNOT_COMMIT) is None
         assert store.rows[TABLE_OWNER, OWNER_KEY].value == OLD.encode()
 
     async def test_is_put_off_while_the_store_is_slow_for_all(self) -> None:
         store = _Store()
         store.read_s = 0.05
-        lease = _lease(store, _Peers(sure=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
         now_s = boot_s()
         writer = lease._writer
-        assert await writer.take(Suspicion.DOUBTFUL, None, now_s) is None
+        assert await writer.acquire(Suspicion.CANNOT_COMMIT, None, now_s) is None
         assert store.rows[TABLE_OWNER, OWNER_KEY].value == OLD.encode()
         long_ago_s = now_s - lease.times.slow_patience_s
-        taken = await writer.take(Suspicion.DOUBTFUL, None, long_ago_s)
-        assert taken is not None and taken.owner.token == 2
+        acquired = await writer.acquire(Suspicion.CANNOT_COMMIT, None, long_ago_s)
+        assert acquired is not None and acquired.owner.token == 2
 
     async def test_of_a_holder_that_is_gone_is_not_put_off(self) -> None:
         store = _Store()
         store.read_s = 0.05
-        lease = _lease(store, _Peers(sure=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
         now_s = boot_s()
-        taken = await lease._writer.take(Suspicion.PROCESS_GONE, None, now_s)
-        assert taken is not None
+        acquired = await lease._writer.acquire(Suspicion.PROCESS_GONE, None, now_s)
+        assert acquired is not None
 
     async def test_never_shares_a_token_with_a_faster_daemon(self) -> None:
         store = _Store()
@@ -136,10 +136,10 @@
 
         def meanwhile() -> None:
             store.put(TABLE_OWNER, OWNER_KEY, faster.encode())
-            lease.book.adopt(store.rows[TABLE_OWNER, OWNER_KEY])
+            lease.registry.adopt(store.rows[TABLE_OWNER, OWNER_KEY])
 
-        lease = _lease(store, _Peers(sure=False, meanwhile=meanwhile))
-        assert await lease._writer.take(Suspicion.DOUBTFUL) is None
+        lease = _lease(store, _Peers(healthy=False, meanwhile=meanwhile))
+        assert await lease._writer.acquire(Suspicion.CANNOT_COMMIT) is None
         assert store.rows[TABLE_OWNER, OWNER_KEY].value == faster.encode()
         await asyncio.sleep(0)
         assert lease.owner == faster
@@ -150,70 +150,70 @@
 
     @staticmethod
     async def _take_after_doubt(store: _Store, head_version: int) -> AcquiredCell:
-        lease = _lease(store, _Peers(sure=False, meanwhile=lambda: None))
-        standstill = Standstill(head_version, exclusive_from_s=5.0)
-        taken = await lease._writer.take(Suspicion.DOUBTFUL, standstill)
-        assert taken is not None
-        return taken
+        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        stalled_commits = StalledCommits(head_version, exclusive_from_s=5.0)
+        acquired = await lease._writer.acquire(Suspicion.CANNOT_COMMIT, stalled_commits)
+        assert acquired is not None
+        return acquired
 
     async def test_is_when_a_holder_said_that_it_cannot_commit(self) -> None:
         store = _Store()
         head_version = store.rows[TABLE_HEAD, HEAD_KEY].version
-        taken = await self._take_after_doubt(store, head_version)
-        assert taken.exclusive_from_s == 5.0
+        acquired = await self._take_after_doubt(store, head_version)
+        assert acquired.exclusive_from_s == 5.0
 
     async def test_outlasts_the_trust_in_a_commit_that_was_made_since(self) -> None:
         store = _Store()
         head_version = store.rows[TABLE_HEAD, HEAD_KEY].version
         store.put(TABLE_HEAD, HEAD_KEY, Head("later", 1).encode())
         began_at_s = boot_s()
-        taken = await self._take_after_doubt(store, head_version)
-        assert taken.exclusive_from_s >= began_at_s + LeaseTimes().trust_s
+        acquired = await self._take_after_doubt(store, head_version)
+        assert acquired.exclusive_from_s >= began_at_s + LeaseTimes().trust_s
 
     @pytest.mark.parametrize("why", [Suspicion.PROCESS_GONE, Suspicion.SILENT])
     async def test_outlasts_the_trust_of_a_holder_that_said_nothing(
         self, why: Suspicion
     ) -> None:
-        lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
+        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
         began_at_s = boot_s()
-        taken = await lease._writer.take(why)
-        assert taken is not None
-        assert taken.exclusive_from_s >= began_at_s + lease.times.trust_s
+        acquired = await lease._writer.acquire(why)
+        assert acquired is not None
+        assert acquired.exclusive_from_s >= began_at_s + lease.times.trust_s
 
     async def test_is_the_take_over_where_the_holder_released_the_cell(self) -> None:
-        lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
-        taken = await lease._writer.take(Suspicion.RELEASED)
-        assert taken is not None
-        assert taken.exclusive_from_s == taken.acquired_at_s
+        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        acquired = await lease._writer.acquire(Suspicion.RELEASED)
+        assert acquired is not None
+        assert acquired.exclusive_from_s == acquired.acquired_at_s
 
     async def test_bounds_what_earlier_holders_extended(self) -> None:
         """A holder whose port seems closed may go on until its trust is over."""
-        lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
-        taken = await lease._writer.take(Suspicion.PROCESS_GONE)
-        assert taken is not None
-        assert taken.last_hold_at_s >= taken.acquired_at_s + lease.times.trust_s
+        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        acquired = await lease._writer.acquire(Suspicion.PROCESS_GONE)
+        assert acquired is not None
+        assert acquired.last_hold_at_s >= acquired.acquired_at_s + lease.times.trust_s
 
     async def test_of_an_own_earlier_life_bounds_its_holds_by_the_take_over(
         self,
     ) -> None:
-        lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
-        taken = await lease._writer.take(Suspicion.OWN_EARLIER_LIFE)
-        assert taken is not None
-        assert taken.last_hold_at_s == taken.acquired_at_s
+        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        acquired = await lease._writer.acquire(Suspicion.OWN_EARLIER_INCARNATION)
+        assert acquired is not None
+        assert acquired.last_hold_at_s == acquired.acquired_at_s
 
     async def test_is_always_where_nobody_held_the_cell(self) -> None:
-        lease = _lease(_Store(), _Peers(sure=False, meanwhile=lambda: None))
-        taken = await lease._writer.take(Suspicion.OWN_EARLIER_LIFE)
-        assert taken is not None
-        assert taken.exclusive_from_s == -math.inf
+        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        acquired = await lease._writer.acquire(Suspicion.OWN_EARLIER_INCARNATION)
+        assert acquired is not None
+        assert acquired.exclusive_from_s == -math.inf
 
     async def test_counts_from_the_standstill_of_a_silent_holder(self) -> None:
         store = _Store()
-        lease = _lease(store, _Peers(sure=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
         began_at_s = boot_s()
         watch = lease._watch
         watch._times = attrs.evolve(lease.times, trust_s=0.2, silence_margin_s=0.1)
         assert await watch.confirm_silent() is Suspicion.SILENT
-        taken = await lease._writer.take(Suspicion.SILENT, watch.standstill)
-        assert taken is not None
-        assert taken.exclusive_from_s < began_at_s + lease.times.max_validity_s + 0.2
+        acquired = await lease._writer.acquire(Suspicion.SILENT, watch.stalled_commits)
+        assert acquired is not None
+        assert acquired.exclusive_from_s < began_at_s + lease.times.max_validity_s + 0.2
--- a/src/streamthread/cell/tests/test_members.py
+++ b/src/streamthread/cell/tests/test_members.py
@@ -4,8 +4,8 @@
 import typing as t
 
 from streamthread.cell import cell_pb2 as pb
+from streamthread.cell.members import MAX_CONCURRENT_ANNOUNCEMENTS
 from streamthread.cell.members import Members
-from streamthread.cell.members import MOST_TOLD_AT_ONCE
 
 
 class _Peers:
@@ -28,14 +28,14 @@
 
 class TestLargerPeers:
     def test_are_those_with_clearly_more_processor(self) -> None:
-        assert _members(0.5, {"a": 0.5, "b": 2.1}).has_larger(without="")
-        assert not _members(1.0, {"a": 1.1, "b": 0.5}).has_larger(without="")
+        assert _members(0.5, {"a": 0.5, "b": 2.1}).has_larger_peer(excluding="")
+        assert not _members(1.0, {"a": 1.1, "b": 0.5}).has_larger_peer(excluding="")
 
     def test_do_not_count_when_gone(self) -> None:
-        assert not _members(0.5, {"a": 0.5, "b": 2.1}).has_larger(without="b")
+        assert not _members(0.5, {"a": 0.5, "b": 2.1}).has_larger_peer(excluding="b")
 
     def test_are_none_while_nobody_has_said(self) -> None:
-        assert not _members(0.5, {"a": 0.0}).has_larger(without="")
+        assert not _members(0.5, {"a": 0.0}).has_larger_peer(excluding="")
 
     def test_are_told_of_in_announcements(self) -> None:
         assert _members(0.5, {}).announcement(pb.OwnerNews()).cores == 0.5
@@ -63,7 +63,7 @@
         members.announce_soon(pb.OwnerNews())
         while len(peers.told) < 300:
             await asyncio.sleep(0)
-        assert peers.most == MOST_TOLD_AT_ONCE
+        assert peers.most == MAX_CONCURRENT_ANNOUNCEMENTS
         assert len(set(peers.told)) == 300
 
 
--- a/src/streamthread/cell/tests/test_peer.py
+++ b/src/streamthread/cell/tests/test_peer.py
@@ -90,7 +90,7 @@
     ) -> None:
         links, address = links_that_lose
         await links.follow(address, 1, 1.0, asyncio.Event())
-        assert not await links.is_sure(address, 1)
+        assert not await links.can_commit(address, 1)
 
     async def test_fails_a_call_as_unanswered(
         self, links_that_lose: tuple[PeerLinks, str]
--- a/src/streamthread/cell/tests/test_answers.py
+++ b/src/streamthread/cell/tests/test_write_outcomes.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from streamthread.cell.answers import AnswerTimes
-from streamthread.cell.answers import LEAST_PATIENCE_S
-from streamthread.cell.answers import MOST_PATIENCE_S
-from streamthread.cell.answers import version_written
+from streamthread.cell.write_outcomes import MAX_PATIENCE_S
+from streamthread.cell.write_outcomes import MIN_PATIENCE_S
+from streamthread.cell.write_outcomes import ResponseTimes
+from streamthread.cell.write_outcomes import version_written
 from streamthread.clocks import boot_s
 from streamthread.errors import OutcomeUnknownError
 from streamthread.errors import StoreUnavailableError
@@ -29,12 +29,12 @@
     return result
 
 
-def _look(version: int | None, after_s: float = 0.0) -> t.Any:
-    async def look() -> int | None:
+def _read_back(version: int | None, after_s: float = 0.0) -> t.Any:
+    async def read_back() -> int | None:
         await asyncio.sleep(after_s)
         return version
 
-    return look
+    return read_back
 
 
 DONE = TransactResult(committed=True, version=7)
@@ -45,66 +45,78 @@
 class TestVersionWritten:
     async def test_is_what_the_answer_says(self) -> None:
         write = _answered(0.0, DONE)
-        assert await version_written(write, _look(None), AnswerTimes()) == 7
+        assert await version_written(write, _read_back(None), ResponseTimes()) == 7
 
     async def test_is_seen_when_the_answer_is_lost(self) -> None:
         began_at_s = boot_s()
         write = _answered(NEVER_S, DONE)
-        assert await version_written(write, _look(9), AnswerTimes()) == 9
+        assert await version_written(write, _read_back(9), ResponseTimes()) == 9
         assert boot_s() - began_at_s < SOON_S
 
     async def test_is_none_where_a_dead_connection_took_the_write(self) -> None:
         write = _answered(NEVER_S, DONE)
-        assert await version_written(write, _look(0), AnswerTimes()) == 0
+        assert await version_written(write, _read_back(0), ResponseTimes()) == 0
 
     async def test_waits_for_a_store_that_is_slow_for_all(self) -> None:
-        write = _answered(LEAST_PATIENCE_S * 3, DONE)
-        look = _look(0, after_s=LEAST_PATIENCE_S * 1.5)
-        assert await version_written(write, look, AnswerTimes()) == 7
+        write = _answered(MIN_PATIENCE_S * 3, DONE)
+        read_back = _read_back(0, after_s=MIN_PATIENCE_S * 1.5)
+        assert await version_written(write, read_back, ResponseTimes()) == 7
 
     async def test_waits_while_nothing_can_be_read(self) -> None:
-        write = _answered(LEAST_PATIENCE_S * 3, DONE)
-        assert await version_written(write, _look(None), AnswerTimes()) == 7
+        write = _answered(MIN_PATIENCE_S * 3, DONE)
+        assert await version_written(write, _read_back(None), ResponseTimes()) == 7
 
     async def test_is_found_soon_after_an_outage(self) -> None:
-        looks = [_look(0, after_s=NEVER_S), _look(0, after_s=NEVER_S), _look(0)]
+        reads = [
+            _read_back(0, after_s=NEVER_S),
+            _read_back(0, after_s=NEVER_S),
+            _read_back(0),
+        ]
 
-        async def look() -> t.Any:
-            return await looks.pop(0)()
+        async def read_back() -> t.Any:
+            return await reads.pop(0)()
 
         began_at_s = boot_s()
         write = _answered(NEVER_S, DONE)
-        assert await version_written(write, look, AnswerTimes()) == 0
+        assert await version_written(write, read_back, ResponseTimes()) == 0
         assert boot_s() - began_at_s < SOON_S
 
     @pytest.mark.parametrize("end", [REFUSED_CONDITION, LOST])
     async def test_is_looked_up_where_the_end_says_nothing(self, end: t.Any) -> None:
-        assert await version_written(_answered(0.0, end), _look(5), AnswerTimes()) == 5
-        assert await version_written(_answered(0.0, end), _look(0), AnswerTimes()) == 0
+        assert (
+            await version_written(_answered(0.0, end), _read_back(5), ResponseTimes())
+            == 5
+        )
+        assert (
+            await version_written(_answered(0.0, end), _read_back(0), ResponseTimes())
+            == 0
+        )
 
     async def test_is_surely_none_after_a_refusal(self) -> None:
         refusal = StoreUnavailableError("refused", remedy="")
         with pytest.raises(StoreUnavailableError):
-            await version_written(_answered(0.0, refusal), _look(5), AnswerTimes())
+            await version_written(
+                _answered(0.0, refusal), _read_back(5), ResponseTimes()
+            )
 
 
 class TestPatience:
     @given(st.lists(st.floats(0, 5), max_size=50))
     def test_stays_within_its_bounds(self, took_s: list[float]) -> None:
-        times = AnswerTimes()
+        times = ResponseTimes()
         for each_s in took_s:
             times.observe(each_s)
-        assert LEAST_PATIENCE_S <= times.patience_s <= MOST_PATIENCE_S
+        assert MIN_PATIENCE_S <= times.patience_s <= MAX_PATIENCE_S
 
     def test_follows_a_store_that_becomes_slow(self) -> None:
-        times = AnswerTimes()
+        times = ResponseTimes()
         for _ in range(20):
             times.observe(0.3)
         assert times.patience_s > 0.3
 
     def test_doubles_while_no_answer_comes(self) -> None:
-        times = AnswerTimes()
+        times = ResponseTimes()
         times.back_off()
-        assert times.patience_s == 2 * LEAST_PATIENCE_S
+        assert times.patience_s == 2 * MIN_PATIENCE_S
         times.observe(0.0)
-        assert times.patience_s == LEAST_PATIENCE_S
+        assert times.patience_s == MIN_PATIENCE_S
--- a/src/streamthread/cell/times.py
+++ b/src/streamthread/cell/times.py
@@ -4,18 +4,18 @@
 
 from ..clocks import SLOWEST_CLOCK
 
-__all__ = ["LeaseTimes", "over_s"]
+__all__ = ["LeaseTimes", "on_slowest_clock_s"]
 
 
-TERM_COMMITS = 2.2
+TERM_COMMIT_FACTOR = 2.2
 """A commit is relied on until the one after it is confirmed: twice the time of one and
 the pause between them, and a tenth more since it varies."""
 
-DOUBT_COMMITS = 1.6
+SUSPICION_COMMIT_FACTOR = 1.6
 """A commit that takes so many times as long as others lately is no slow one."""
 
 
-def over_s(term_s: float) -> float:
+def on_slowest_clock_s(term_s: float) -> float:
     """Return after how long a term is over on whatever clock."""
     return term_s / SLOWEST_CLOCK
 
@@ -73,7 +73,7 @@
     @property
     def max_validity_s(self) -> float:
         """After so long no holder relies on a commit of which nothing is known."""
-        return over_s(self.most_trust_s)
+        return on_slowest_clock_s(self.most_trust_s)
 
     def term_s(self, commit_s: float) -> float:
         """Return for how long a commit may be relied on.
@@ -84,7 +84,7 @@
 
         :param commit_s: how long a commit took lately.
         """
-        wanted_s = TERM_COMMITS * commit_s + self.renew_s
+        wanted_s = TERM_COMMIT_FACTOR * commit_s + self.renew_s
         return min(max(self.trust_s, wanted_s), self.most_trust_s)
 
     def suspect_after_s(self, commit_s: float) -> float:
@@ -92,4 +92,7 @@
 
         :param commit_s: how long a commit took lately.
         """
-        return min(max(self.slow_doubt_s, DOUBT_COMMITS * commit_s), self.most_doubt_s)
+        return min(
+            max(self.slow_doubt_s, SUSPICION_COMMIT_FACTOR * commit_s),
+            self.most_doubt_s,
+        )
--- a/src/streamthread/cell/watch.py
+++ b/src/streamthread/cell/watch.py
@@ -8,8 +8,8 @@
 from ..clocks import boot_s
 from ..platform.store import ABSENT
 from ..platform.store import RowStore
-from .book import OwnerBook
-from .peer import HolderDoubtfulError
+from .owner_registry import OwnerRegistry
+from .peer import HolderCannotCommitError
 from .peer import HolderSilentError
 from .peer import HolderUnreachableError
 from .peer import PeerLinks
@@ -17,22 +17,22 @@
 from .reading import read_or_none
 from .rows import Owner
 from .rows import TABLE_HEAD
-from .takeover import Standstill
+from .takeover import StalledCommits
 from .takeover import Suspicion
 from .times import LeaseTimes
-from .times import over_s
+from .times import on_slowest_clock_s
 
 __all__ = ["HolderWatch"]
 
 log = logbook.Logger("streamthread.cell")
 
-CLOSED_PORT_S = 0.02
+CLOSED_PORT_DELAY_S = 0.02
 """After a closed port, news of another holder gets so long to arrive first."""
 
-JUST_STARTED_S = 1.0
+STARTUP_PERIOD_S = 1.0
 """A daemon that is younger has most likely come back with all others."""
 
-OWNER_BACK_S = 0.5
+OWNER_RETURN_DELAY_S = 0.5
 """So long a daemon that has just started leaves the cell to the one that held it: all
 machines start within 0.3 s, and that one need not wait for anybody's late orders."""
 
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class _SeenHead:
+class _HeadState:
     """The head row as it was read: its version, and what it says of its term."""
 
     version: int
@@ -51,7 +51,7 @@
 class HolderWatch:
     """Follows whoever holds the cell.
 
-    :param standstill: what the last suspicion showed of the holder's commits.
+    :param stalled_commits: what the last suspicion showed of the holder's commits.
     :param suspected_at_s: when the present suspicion arose, on the boot clock.
     """
 
@@ -60,31 +60,31 @@
         store: RowStore,
         part: str,
         daemon_id: str,
-        book: OwnerBook,
+        registry: OwnerRegistry,
         peers: PeerLinks,
         times: LeaseTimes,
     ) -> None:
         self._store = store
         self._part = part
         self._daemon_id = daemon_id
-        self._book = book
+        self._registry = registry
         self._peers = peers
         self._times = times
         self._started_at_s = boot_s()
-        self._told: tuple[Suspicion, Owner | None] = (Suspicion.NONE, None)
+        self._reported: tuple[Suspicion, Owner | None] = (Suspicion.NONE, None)
         self.suspected_at_s = 0.0
-        self.standstill: Standstill | None = None
+        self.stalled_commits: StalledCommits | None = None
 
     async def observe(self) -> Suspicion:
         """Return once the holder may be replaced, or when it has changed."""
         suspicion = await self._suspect()
-        known = (suspicion, self._book.owner)
-        if known == self._told:
+        known = (suspicion, self._registry.owner)
+        if known == self._reported:
             return suspicion
-        self._told = known
+        self._reported = known
         self.suspected_at_s = boot_s()
         if suspicion is not Suspicion.NONE:
-            owner = self._book.owner
+            owner = self._registry.owner
             log.info(
                 "holder-suspected",
                 extra={
@@ -96,50 +96,55 @@
         return suspicion
 
     async def _suspect(self) -> Suspicion:
-        owner = self._book.owner
-        self.standstill = None
+        owner = self._registry.owner
+        self.stalled_commits = None
         if owner is None:
             return Suspicion.VACANT
         if owner.released:
             return Suspicion.RELEASED
         if owner.daemon_id == self._daemon_id:
-            return Suspicion.OWN_EARLIER_LIFE
+            return Suspicion.OWN_EARLIER_INCARNATION
         try:
             await self._peers.follow(
-                owner.address, owner.token, self._times.beat_lost_s, self._book.changed
+                owner.address,
+                owner.token,
+                self._times.beat_lost_s,
+                self._registry.changed,
             )
             return Suspicion.NONE
         except HolderUnreachableError:
             return await self._confirm_gone(owner)
         except HolderSilentError:
             return await self.confirm_silent()
-        except HolderDoubtfulError as error:
+        except HolderCannotCommitError as error:
             if error.head_version:
-                self.standstill = Standstill(error.head_version, boot_s())
-            return Suspicion.DOUBTFUL
+                self.stalled_commits = StalledCommits(error.head_version, boot_s())
+            return Suspicion.CANNOT_COMMIT
 
     async def _confirm_gone(self, owner: Owner) -> Suspicion:
         """The holder's port is closed: its process is gone, or about to be."""
-        just_started = boot_s() - self._started_at_s <= JUST_STARTED_S
-        await asyncio.sleep(OWNER_BACK_S if just_started else CLOSED_PORT_S)
+        just_started = boot_s() - self._started_at_s <= STARTUP_PERIOD_S
+        await asyncio.sleep(
+            OWNER_RETURN_DELAY_S if just_started else CLOSED_PORT_DELAY_S
+        )
         head = await self._read_head()
-        if self._book.owner is not owner:
+        if self._registry.owner is not owner:
             return Suspicion.NONE
         if head is not None:
-            self.standstill = self._standstill(head, boot_s())
+            self.stalled_commits = self._stalled_commits(head, boot_s())
         return Suspicion.PROCESS_GONE
 
     @staticmethod
-    def _standstill(head: _SeenHead, seen_at_s: float) -> Standstill:
+    def _stalled_commits(head: _HeadState, seen_at_s: float) -> StalledCommits:
         """Return from when on a holder is silent whose head row stays as it is."""
-        return Standstill(head.version, seen_at_s + over_s(head.term_s))
+        return StalledCommits(head.version, seen_at_s + on_slowest_clock_s(head.term_s))
 
     async def confirm_silent(self) -> Suspicion:
         """Watch the commits stand still for long enough to be sure."""
         first = await self._read_head()
         since_s = boot_s()
-        owner = self._book.owner
-        while first is not None and self._book.owner is owner:
+        owner = self._registry.owner
+        while first is not None and self._registry.owner is owner:
             await asyncio.sleep(HEAD_POLL_S)
             asked_at_s = boot_s()
             head = await self._read_head()
@@ -147,18 +152,18 @@
                 return Suspicion.NONE
             silence_s = first.term_s + self._times.silence_margin_s
             if asked_at_s - since_s >= silence_s:
-                self.standstill = self._standstill(first, since_s)
+                self.stalled_commits = self._stalled_commits(first, since_s)
                 return Suspicion.SILENT
         return Suspicion.NONE
 
-    async def _read_head(self) -> _SeenHead | None:
+    async def _read_head(self) -> _HeadState | None:
         page = await read_or_none(self._store, TABLE_HEAD, self._part)
         if page is None:
             return None
         if not page.rows:
-            return _SeenHead(ABSENT, self._times.trust_s)
+            return _HeadState(ABSENT, self._times.trust_s)
         row = page.rows[0]
-        return _SeenHead(row.version, self._term_s(row.value or b""))
+        return _HeadState(row.version, self._term_s(row.value or b""))
 
     def _term_s(self, value: bytes) -> float:
         """Return for how long a head row's transaction is relied on, at the most."""
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -146,7 +146,7 @@
     Guard(
         "term-follows-slow-commits",
         "cell/times.py",
-        "        wanted_s = TERM_COMMITS * commit_s + self.renew_s\n",
+        "        wanted_s = TERM_COMMIT_FACTOR * commit_s + self.renew_s\n",
         "        wanted_s = 0.0\n",
         ("tests/cell/test_slow_store.py",),
     ),
