--- a/src/streamthread/cell/commits.py
+++ b/src/streamthread/cell/commits.py
@@ -1,4 +1,4 @@
-"""Group commit: one transaction in flight, fenced by the head row."""
+"""Group commit: at most one transaction is in flight, and the head row fences it."""
 
 import asyncio
 import collections
@@ -26,25 +26,28 @@
 __all__ = ["CommitLog", "Encode"]
 
 Encode = t.Callable[[], bytes | None]
-"""Returns a row's value at the moment of the commit; None drops the row."""
+"""Returns a row's value at the time of the commit, or None to delete the row."""
 
 MAX_ROWS = 90
-"""Below the store's limit of 100 entries, with room for the head row."""
+"""Maximum rows per transaction. The store accepts 100 entries; the margin leaves space
+for the head row."""
 
 MAX_BYTES = 180_000
-"""Of values in one transaction, and one row of 64 KB more. As base64 it crosses the
-smallest links (5 Mbit/s) in 0.53 s, before its holder doubts that it can commit; 600
-KB would take 1.4 s there, and the cell would go from one such holder to the next."""
+"""Maximum size of the values in one transaction; the last row may exceed it by 64 KB.
+In base64 such a batch crosses the slowest links (5 Mbit/s) in 0.53 s, before the holder
+suspects that it cannot commit. A batch of 600 KB would take 1.4 s there, and the cell
+would move from one such holder to the next."""
 
 SLOW_COMMIT_S = 0.35
-"""A commit takes 7 ms; under a store 60 times slower, 300 ms."""
+"""Commits that take longer count as slow. A commit usually takes 7 ms, and 300 ms in a
+store that is 60 times slower."""
 
 RETRY_MIN_S = 0.05
-"""Pause before the second try while the store fails; it doubles with each."""
+"""Initial backoff while the store fails; it doubles with each try."""
 
 RETRY_MAX_S = 0.2
-"""The longest pause between tries: followers leave a doubtful holder 0.25 s once the
-store serves them again."""
+"""Maximum backoff. Once the store serves the followers again, they give a holder that
+reported failing commits 0.25 s to commit."""
 
 
 @attrs.frozen
@@ -57,14 +60,14 @@
 class CommitLog:
     """Writes the rows of one cell for its holder.
 
-    Rows that change while a transaction is in flight go out with the next one,
-    as they are then. A holder that lost the cell learns it here.
+    Rows that change while a transaction is in flight are written by the next one, with
+    the values that they have then. The log also detects that the holder lost the cell.
 
     :param token: the holder's fencing token.
-    :param head_version: the head row's version after the last confirmed commit; at
-        first, after the take-over.
-    :param interval_s: a commit is made at least this often, to renew the lease.
-    :param times: how long a commit may be relied on.
+    :param head_version: the head row's version after the last confirmed commit;
+        initially, the version after the cell was acquired.
+    :param interval_s: the maximum interval between commits, which renew the lease.
+    :param times: how long a commit keeps the lease valid.
     """
 
     def __init__(
@@ -79,9 +82,9 @@
     ) -> None:
         self._times = times or LeaseTimes()
         self._confirmed_term_s = self._times.trust_s
-        # The shortest that a try of the present commit has said.
+        # The shortest term that a try of the current commit has written.
         self._sent_term_s = math.inf
-        # When the try was sent that took effect, or the last one.
+        # When the try that took effect was sent, or else the last try.
         self._effective_at_s = confirmed_at_s
         self._durations_s: collections.deque[float] = collections.deque(maxlen=2)
         self._store = store
@@ -105,26 +108,26 @@
         self.lost = False
 
     def mark(self, table: str, key: str, encode: Encode) -> "asyncio.Future[None]":
-        """Have a row written; the future ends when it is durable."""
+        """Mark a row for writing; the future completes when the row is durable."""
         self._dirty[table, key] = encode
         self._wake.set()
         return self._next
 
     def unmark(self, table: str, key: str) -> bool:
-        """Have a row not written after all.
+        """Cancel the writing of a row.
 
-        :return: whether no transaction has carried its change, nor will.
+        :return: true if no transaction has carried the change or will carry it.
         """
         if (table, key) in self._in_flight:
             return False
         return self._dirty.pop((table, key), None) is not None
 
     def is_degraded(self) -> bool:
-        """Whether a commit fails or takes much longer than the store's usual."""
+        """Whether a commit fails or takes much longer than the store usually needs."""
         return self.failing_since_s is not None or self.tried_for_s() > SLOW_COMMIT_S
 
     def tried_for_s(self) -> float:
-        """Return for how long the present commit has been tried; 0: there is none."""
+        """Return for how long the current commit has been tried; 0 without a commit."""
         if self.trying_since_s is None:
             return 0.0
         return boot_s() - self.trying_since_s
@@ -136,28 +139,28 @@
 
     @property
     def term_s(self) -> float:
-        """For how long the last confirmed commit may be relied on, since it was sent.
+        """For how long the lease is valid after the last confirmed commit was sent.
 
-        Whoever wants to take over goes by what the head row says: that may be what a
-        try says of which we have no answer.
+        A candidate uses the term in the head row, and a try without an answer may have
+        written it. The shorter of the confirmed and the sent term therefore applies.
         """
         return min(self._confirmed_term_s, self._sent_term_s)
 
     def is_commit_overdue(self, failing_s: float, slow_s: float) -> bool:
-        """Whether the present commit is tried for too long.
+        """Whether the current commit has been tried for too long.
 
-        :param failing_s: how long it may be tried once a try has failed.
-        :param slow_s: how long it may just take.
+        :param failing_s: the limit once a try has failed.
+        :param slow_s: the limit while no try has failed.
         """
         limit_s = slow_s if self.failing_since_s is None else failing_s
         return self.tried_for_s() > limit_s
 
     async def flushed(self) -> None:
-        """Return once all that is marked now is durable.
+        """Return once all rows that are marked now are durable.
 
-        This alone does not say that the cell is still held: see :meth:`confirmed`.
+        This alone does not prove that the cell is still held: see :meth:`confirmed`.
 
-        :raises NotHolderError: the cell is lost; what was marked may be durable.
+        :raises NotHolderError: the cell is lost; the marked rows may be durable.
         """
         if self.lost:
             raise _not_holder("the cell is lost")
@@ -167,10 +170,11 @@
             await asyncio.shield(self._current)
 
     async def written(self, table: str, key: str) -> None:
-        """Return once a row is durable as it was marked last.
+        """Return once the latest marked value of a row is durable.
 
-        What was marked beside it may not be: :meth:`flushed` waits for one commit more
-        while one is under way, and in a slow store others mark rows all the time.
+        Rows that were marked at the same time may not be durable yet: :meth:`flushed`
+        waits for one more commit while one is in flight, and in a slow store other
+        tasks mark rows all the time.
 
         :raises NotHolderError: the cell is lost; the row may be durable.
         """
@@ -182,9 +186,9 @@
             await asyncio.shield(self._current)
 
     async def confirmed(self) -> None:
-        """Return once a commit is confirmed that began after this call.
+        """Return once a commit that began after this call is confirmed.
 
-        Nobody else has held the cell before that commit.
+        No other daemon has held the cell before that commit.
 
         :raises NotHolderError: the cell is lost.
         """
@@ -192,7 +196,7 @@
         await asyncio.shield(self._next)
 
     def is_marked(self, table: str, key: str) -> bool:
-        """Whether a row has changes that are not durable yet."""
+        """Whether a row has changes that are not durable."""
         return (table, key) in self._dirty or (table, key) in self._in_flight
 
     async def run(self) -> None:
@@ -223,7 +227,7 @@
             return
 
     def _next_batch(self) -> _Batch:
-        """Return the oldest changes that fit into one transaction."""
+        """Remove and return the oldest changes that fit into one transaction."""
         rows: list[StoredRow] = []
         drops: list[StoredRow] = []
         size = 0
@@ -240,7 +244,7 @@
             rows.append(StoredRow(table, self._part, key, value))
         done = self._next
         if self._dirty:
-            # The rest waits for a later transaction, and so do its waiters.
+            # A later transaction writes the other rows; their waiters stay pending.
             done = _future()
         else:
             self._wake.clear()
@@ -271,7 +275,7 @@
         self.head_version = version
         self.confirmed_at_s = self._effective_at_s
         if boot_s() - self.confirmed_at_s > self._interval_s:
-            # Confirmed late: it is relied on for little longer, or no more.
+            # The confirmation is late, so the lease expires soon or has expired.
             self._wake.set()
         self.failing_since_s = None
         self.trying_since_s = None
@@ -281,7 +285,7 @@
             batch.done.set_result(None)
 
     async def _try(self, batch: _Batch, tries: dict[str, float]) -> int:
-        """Return the head's version after the commit, or 0 to try again.
+        """Return the head row's version after the commit, or 0 to try again.
 
         :param tries: when each try of this commit was sent, by its nonce.
         """
@@ -303,11 +307,12 @@
             return 0
 
     async def _find_effective_try(self, tries: dict[str, float]) -> int | None:
-        """Find out whether one of our tries took effect.
+        """Return the head row's version if one of our tries took effect.
 
-        The commit counts from when that one was sent: who wants to take over counts
-        from when the head row changed, which may be before a later try.
+        The lease term counts from when that try was sent: a candidate counts from when
+        the head row changed, which may be before a later try.
 
+        :return: 0 if no try took effect, None if the head row cannot be read now.
         :raises NotHolderError: another daemon has written the head row.
         """
         page = await read_or_none(self._store, TABLE_HEAD, self._part)
