--- a/src/streamthread/cell/acquisition.py
+++ b/src/streamthread/cell/acquisition.py
@@ -1,4 +1,4 @@
-"""Writes who holds the cell: a take-over from the holder before, and a release."""
+"""Writes the owner of the cell to acquire it from the previous holder or release it."""
 
 import asyncio
 import math
@@ -33,20 +33,21 @@
 log = logbook.Logger("streamthread.cell")
 
 NO_EARLIER_HOLDER = (Suspicion.VACANT, Suspicion.OWN_EARLIER_INCARNATION)
-"""No other daemon can still order anything."""
+"""Suspicions under which no other daemon can still send orders."""
 
 REFUSED_PAUSE_S = 0.1
-"""Pause after the store refused a take-over, or the read before it."""
+"""Pause after the store refused an acquisition or the read before it."""
 
 GetDelay = t.Callable[[Suspicion, Owner | None], float]
-"""Returns how long to leave the cell to better candidates, in seconds."""
+"""Returns for how long to leave the cell to better candidates, in seconds."""
 
 
 class OwnerWriter:
-    """Takes the cell over for one daemon, and releases it.
+    """Acquires the cell for one daemon and releases it.
 
+    :param get_delay_s: returns for how long to leave the cell to better candidates.
     :param as_owner: returns this daemon as the owner under a fencing token.
-    :param stopping: whether the daemon is about to stop, and takes nothing.
+    :param stopping: whether the daemon is stopping and must not acquire the cell.
     """
 
     def __init__(
@@ -76,15 +77,16 @@
         stalled_commits: StalledCommits | None = None,
         suspected_at_s: float = 0.0,
     ) -> AcquiredCell | None:
-        """Try to become the holder; None if the cell is left to another.
+        """Try to become the holder; return None if the cell is left to another daemon.
 
-        :param stalled_commits: what is known of the holder's commits.
+        :param stalled_commits: evidence that the holder's commits have stalled.
         :param suspected_at_s: when the suspicion arose, on the boot clock.
         """
         owner = self._registry.owner
         if not await self._may_acquire(suspicion, owner, suspected_at_s):
             return None
-        # Whoever takes the cell from here on changes the row, and ends this try.
+        # A daemon that acquires the cell from here on changes the row, so that this
+        # attempt fails.
         seen_version = self._registry.version
         await asyncio.sleep(self._get_delay_s(suspicion, owner))
         if self._registry.owner is not owner or self._stopping():
@@ -96,7 +98,7 @@
     async def _may_acquire(
         self, suspicion: Suspicion, owner: Owner | None, suspected_at_s: float
     ) -> bool:
-        """Whether the store still names the suspected holder, and a change helps."""
+        """Whether the store still names the suspected holder and a change is useful."""
         asked_at_s = boot_s()
         if not await self._registry.reread():
             await asyncio.sleep(REFUSED_PAUSE_S)
@@ -107,17 +109,17 @@
         return not doubtful or not self._is_slow_for_all(asked_at_s, suspected_at_s)
 
     def _is_slow_for_all(self, asked_at_s: float, suspected_at_s: float) -> bool:
-        """Whether the store is slow here too, so that a change would not help.
+        """Whether the store is slow for this daemon too, so a change would not help.
 
-        A doubtful holder is left alone then for a while; it goes on as soon as its
-        commit is confirmed, and a new one would have to read all jobs first.
+        Then a holder that cannot commit keeps the cell for a while. It continues as soon
+        as its commit is confirmed; a new one would have to read all jobs first.
         """
         now_s = boot_s()
         slow = now_s - asked_at_s > self._times.slow_read_s
         return slow and now_s - suspected_at_s < self._times.slow_patience_s
 
     async def _has_recovered(self, owner: Owner | None) -> bool:
-        """Whether the holder commits again, since the store serves all of us."""
+        """Whether the holder commits again because the store serves all daemons."""
         if owner is None or not await self._peers.can_commit(
             owner.address, owner.token
         ):
@@ -136,7 +138,7 @@
         began_at_s = boot_s()
         version = await self._write_owner(mine, seen_version, stalled_commits)
         if version is None and stalled_commits is not None:
-            # It has committed since, or its last commit was never confirmed to it.
+            # The holder has committed since, or its last commit was never confirmed.
             stalled_commits = None
             began_at_s = boot_s()
             version = await self._write_owner(mine, seen_version)
@@ -164,10 +166,10 @@
         stalled_commits: StalledCommits | None,
         acquired_at_s: float,
     ) -> float:
-        """Return from when on no earlier holder sends an order.
+        """Return the time after which no earlier holder sends orders.
 
-        Its commits end with the take-over, so that its trust in the last of them
-        bounds what it orders, unless we know better.
+        The acquisition ends the earlier holder's commits, so the validity of its lease
+        after the last commit is the bound if no better one is known.
         """
         if suspicion in NO_EARLIER_HOLDER:
             return -math.inf
@@ -178,9 +180,9 @@
         return acquired_at_s + self._times.max_validity_s
 
     async def release(self, acquired: AcquiredCell, successor: str) -> bool:
-        """Give the cell up in order, naming who should take over.
+        """Release the cell and name the daemon that should acquire it next.
 
-        :return: whether the store has taken it.
+        :return: whether the store accepted the release.
         """
         owner = attrs.evolve(acquired.owner, released=True, successor=successor)
         version = await self._write_owner(owner, self._registry.version)
@@ -200,12 +202,12 @@
         seen_version: int,
         stalled_commits: StalledCommits | None = None,
     ) -> int | None:
-        """Return the rows' version, or None where another daemon has it.
+        """Return the version of the rows, or None if the write did not take effect.
 
-        The head row is replaced too, which ends all commits from before.
+        The head row is replaced too, which ends all commits of earlier holders.
 
-        :param seen_version: of the owner row on which this was decided.
-        :param stalled_commits: require that the head row has not changed since.
+        :param seen_version: the version of the owner row that the decision is based on.
+        :param stalled_commits: if given, requires that the head row is unchanged since.
         """
         head = Head(new_nonce(), owner.token)
         conditions = [Condition(TABLE_OWNER, self._part, OWNER_KEY, seen_version)]
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -1,4 +1,4 @@
-"""Who holds the cell: following its holder, taking it over, giving it up."""
+"""The lease on a cell: follows its holder, acquires the cell and releases it."""
 
 import asyncio
 import functools
@@ -29,17 +29,18 @@
 log = logbook.Logger("streamthread.cell")
 
 RECHECK_S = 0.05
-"""Pause before a holder that nothing speaks against is followed anew."""
+"""Pause before a holder without suspicion is followed again."""
 
 
 class CellLease(Service):
-    """Follows the cell's holder, and takes over when it is gone.
-
-    :param cores: how much processor this daemon has; the holder uses most of all.
-    :param on_acquired: called with what was acquired; returns when the cell is lost.
-    :param on_replaced: called while holding, when another holder is known.
-    :param notes: is told of rows of the cell that can't be read.
-    :param failures: is told of what failed and nobody foresaw.
+    """Follows the cell's holder, and acquires the cell when the holder has failed.
+
+    :param cores: the CPU cores of this daemon; the holder uses more CPU than followers.
+    :param on_acquired: called with the acquired cell; returns when the cell is lost.
+    :param on_replaced: called when another holder is known while this daemon holds the
+        cell.
+    :param notes: collects the rows of the cell that cannot be decoded.
+    :param failures: collects unexpected failures.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
 
     @property
     def owner(self) -> Owner | None:
-        """The newest owner that is known."""
+        """The newest known owner."""
         return self.registry.owner
 
     def _as_owner(self, token: int) -> Owner:
@@ -102,11 +103,11 @@
             self._on_replaced()
 
     def news(self) -> pb.OwnerNews:
-        """Return what a peer should know of the holder."""
+        """Return the update on the holder that is sent to peers."""
         return self.registry.news()
 
     def is_holder_alive(self) -> bool:
-        """Whether a holder that can commit has been heard just now."""
+        """Whether a recent heartbeat came from a holder that can commit."""
         return self._peers.received_within(self.times.beat_lost_s)
 
     @Service.task
@@ -124,7 +125,7 @@
         await self.wait(self._keeper.keep("follow", self._follow))
 
     async def _follow(self) -> None:
-        """Follow whoever holds the cell; take over when it may be replaced."""
+        """Follow the cell's holder; acquire the cell when it may be replaced."""
         await self.registry.known.wait()
         while True:
             self.registry.changed.clear()
@@ -138,7 +139,7 @@
             if acquired is not None:
                 await self._hold(acquired)
             elif self.owner is not None and suspicion is Suspicion.CANNOT_COMMIT:
-                # Most likely the store is down for all of us.
+                # Most likely the store is unavailable to all daemons.
                 await asyncio.sleep(self.times.retry_s)
 
     async def _hold(self, acquired: AcquiredCell) -> None:
@@ -152,9 +153,9 @@
             log.warning("cell-lost", extra={"token": acquired.owner.token})
 
     async def release(self, acquired: AcquiredCell, successor: str) -> bool:
-        """Give the cell up in order, naming who should take over.
+        """Release the cell and name the daemon that should acquire it next.
 
-        :return: whether the store has taken it.
+        :return: whether the store accepted the release.
         """
         released = await self._writer.release(acquired, successor)
         if released:
--- a/src/streamthread/cell/takeover.py
+++ b/src/streamthread/cell/takeover.py
@@ -1,4 +1,4 @@
-"""What a take-over of a cell is decided on, and what it brings."""
+"""The reasons for acquiring a cell from its holder, and the result."""
 
 import enum
 import math
@@ -11,7 +11,7 @@
 
 
 class Suspicion(enum.Enum):
-    """Why the present holder may be replaced."""
+    """Why the current holder may be replaced."""
 
     NONE = "none"
     VACANT = "vacant"
@@ -24,13 +24,14 @@
 
 @attrs.frozen
 class StalledCommits:
-    """Since when a holder orders nothing, unless it has committed again.
+    """Evidence that a holder sends no more orders, unless it has committed again.
 
-    A holder relies on its commits, and each of them changes the head row: one that
-    had ceased to rely on the last of them stays silent while that row stands still.
+    The lease of a holder depends on its commits, and each commit changes the head row.
+    Once the lease has expired, the holder sends no orders while that row is unchanged.
 
-    :param head_version: of the head row, which the take-over requires.
-    :param exclusive_from_s: on the boot clock: no order leaves that holder later.
+    :param head_version: the head row's version, which the acquisition requires.
+    :param exclusive_from_s: the time on the boot clock after which that holder sends no
+        orders.
     """
 
     head_version: int
@@ -39,11 +40,12 @@
 
 @attrs.frozen
 class AcquiredCell:
-    """What a new holder begins with.
+    """The initial state of a new holder.
 
-    :param head_version: the head row's version after the take-over.
-    :param acquired_at_s: on the boot clock: when the take-over was sent.
-    :param exclusive_from_s: on the boot clock: no earlier holder sends an order later.
+    :param head_version: the head row's version after the acquisition.
+    :param acquired_at_s: when the acquisition was sent, on the boot clock.
+    :param exclusive_from_s: the time on the boot clock after which no earlier holder
+        sends orders.
     """
 
     owner: Owner
@@ -53,10 +55,10 @@
 
     @property
     def last_hold_at_s(self) -> float:
-        """When an earlier holder may have extended a run last, on the boot clock.
+        """The latest time at which an earlier holder may have extended a run.
 
-        It extends runs for as long as it orders; an earlier life of this daemon ended
-        before the take-over.
+        The time is on the boot clock. A holder extends runs for as long as it sends
+        orders; an earlier incarnation of this daemon exited before the acquisition.
         """
         return (
             self.exclusive_from_s
--- a/src/streamthread/cell/watch.py
+++ b/src/streamthread/cell/watch.py
@@ -1,4 +1,4 @@
-"""Watches the cell's holder, and tells when it may be replaced and why."""
+"""Watches the cell's holder, and reports when and why it may be replaced."""
 
 import asyncio
 
@@ -27,32 +27,35 @@
 log = logbook.Logger("streamthread.cell")
 
 CLOSED_PORT_DELAY_S = 0.02
-"""After a closed port, news of another holder gets so long to arrive first."""
+"""How long to wait, after a closed port, for an update that names another holder."""
 
 STARTUP_PERIOD_S = 1.0
-"""A daemon that is younger has most likely come back with all others."""
+"""A daemon that has run for less than this was most likely restarted together with all
+other daemons."""
 
 OWNER_RETURN_DELAY_S = 0.5
-"""So long a daemon that has just started leaves the cell to the one that held it: all
-machines start within 0.3 s, and that one need not wait for anybody's late orders."""
+"""How long a daemon that has just started leaves the cell to its previous holder. All
+machines start within 0.3 s, and the previous holder does not have to wait for the late
+orders of another daemon."""
 
 HEAD_POLL_S = 0.25
-"""Between two looks at a silent holder's commits: each is a read of the store."""
+"""Interval between checks of a silent holder's commits; each is a read of the store."""
 
 
 @attrs.frozen
 class _HeadState:
-    """The head row as it was read: its version, and what it says of its term."""
+    """The head row as it was read: its version and its term."""
 
     version: int
     term_s: float
 
 
 class HolderWatch:
-    """Follows whoever holds the cell.
+    """Follows the current holder of the cell.
 
-    :param stalled_commits: what the last suspicion showed of the holder's commits.
-    :param suspected_at_s: when the present suspicion arose, on the boot clock.
+    :param stalled_commits: evidence from the last suspicion that the holder's commits
+        have stalled.
+    :param suspected_at_s: when the current suspicion arose, on the boot clock.
     """
 
     def __init__(
@@ -122,7 +125,10 @@
             return Suspicion.CANNOT_COMMIT
 
     async def _confirm_gone(self, owner: Owner) -> Suspicion:
-        """The holder's port is closed: its process is gone, or about to be."""
+        """Handle a closed port: the holder's process has exited or is about to exit.
+
+        :return: ``NONE`` if an update names another holder in the meantime.
+        """
         just_started = boot_s() - self._started_at_s <= STARTUP_PERIOD_S
         await asyncio.sleep(
             OWNER_RETURN_DELAY_S if just_started else CLOSED_PORT_DELAY_S
@@ -136,11 +142,14 @@
 
     @staticmethod
     def _stalled_commits(head: _HeadState, seen_at_s: float) -> StalledCommits:
-        """Return from when on a holder is silent whose head row stays as it is."""
+        """Return when a holder sends no more orders if its head row stays unchanged."""
         return StalledCommits(head.version, seen_at_s + on_slowest_clock_s(head.term_s))
 
     async def confirm_silent(self) -> Suspicion:
-        """Watch the commits stand still for long enough to be sure."""
+        """Poll the head row until the holder's commits have stalled for long enough.
+
+        :return: ``NONE`` if the head row or the owner changes, or cannot be read.
+        """
         first = await self._read_head()
         since_s = boot_s()
         owner = self._registry.owner
@@ -166,7 +175,7 @@
         return _HeadState(row.version, self._term_s(row.value or b""))
 
     def _term_s(self, value: bytes) -> float:
-        """Return for how long a head row's transaction is relied on, at the most."""
+        """Return the longest lease term that a head row's transaction may have."""
         head = head_or_none(value)
         if head is None:
             return self._times.most_trust_s
