--- a/src/streamthread/cell/acquisition.py
+++ b/src/streamthread/cell/acquisition.py
@@ -111,8 +111,8 @@
     def _is_slow_for_all(self, asked_at_s: float, suspected_at_s: float) -> bool:
         """Whether the store is slow for this daemon too, so a change would not help.
 
-        Then a holder that cannot commit keeps the cell for a while. It continues as soon
-        as its commit is confirmed; a new one would have to read all jobs first.
+        Then a holder that cannot commit keeps the cell for a while. It continues as
+        soon as its commit is confirmed; a new one would have to read all jobs first.
         """
         now_s = boot_s()
         slow = now_s - asked_at_s > self._times.slow_read_s
--- a/src/streamthread/cell/acquisition_delay.py
+++ b/src/streamthread/cell/acquisition_delay.py
@@ -1,4 +1,4 @@
-"""How long a daemon leaves a cell to better candidates before it takes it."""
+"""The delay after which a daemon acquires a cell, which favors better candidates."""
 
 import random
 
@@ -10,17 +10,17 @@
 __all__ = ["AcquisitionDelay"]
 
 REFERENCE_CORES = 1.0
-"""A daemon with so much processor hesitates for the usual time."""
+"""The number of CPU cores with which a daemon uses the normal delay."""
 
 MAX_DELAY_FACTOR = 4.0
-"""Times the usual; the smallest machines seen have half a core."""
+"""Maximum multiple of the normal delay; the smallest machines have half a core."""
 
 
 class AcquisitionDelay:
-    """Spreads the candidates, so that one write wins and large machines go first.
+    """Spreads the candidates so that one write wins and large machines go first.
 
-    :param cores: how much processor this daemon has.
-    :param rng: a source of its own for each life of a daemon.
+    :param cores: the CPU cores of this daemon.
+    :param rng: a separate random source for each incarnation of a daemon.
     """
 
     def __init__(
@@ -38,9 +38,9 @@
         self._rng = rng
 
     def before_acquisition_s(self, suspicion: Suspicion, owner: Owner | None) -> float:
-        """Return how long to wait before a take-over is written.
+        """Return how long to wait before writing an acquisition.
 
-        :param owner: the holder that is to be replaced, where there was one.
+        :param owner: the holder to replace, if there was one.
         """
         if suspicion is Suspicion.OWN_EARLIER_INCARNATION:
             return 0.0
@@ -54,7 +54,7 @@
         return self._stagger_s(owner)
 
     def _stagger_s(self, owner: Owner | None) -> float:
-        """Return a random time, longer on small machines."""
+        """Return a random delay, which is longer on small machines."""
         share = self._size_factor * (1 + self._rng.random()) / 2
         stagger_s = self._times.stagger_s * share
         if self._members.has_larger_peer(excluding=owner.daemon_id if owner else ""):
--- a/src/streamthread/cell/times.py
+++ b/src/streamthread/cell/times.py
@@ -1,4 +1,4 @@
-"""How long a cell's holder and its followers rely on each other."""
+"""The durations of a cell's lease, for its holder and its followers."""
 
 import attrs
 
@@ -8,49 +8,52 @@
 
 
 TERM_COMMIT_FACTOR = 2.2
-"""A commit is relied on until the one after it is confirmed: twice the time of one and
-the pause between them, and a tenth more since it varies."""
+"""A lease term lasts until the next commit is confirmed: twice the duration of a commit
+and the pause between them, plus a tenth because durations vary."""
 
 SUSPICION_COMMIT_FACTOR = 1.6
-"""A commit that takes so many times as long as others lately is no slow one."""
+"""A commit that takes more than this multiple of the recent duration is suspicious, not
+just slow."""
 
 
 def on_slowest_clock_s(term_s: float) -> float:
-    """Return after how long a term is over on whatever clock."""
+    """Return the time after which a term has expired even on the slowest clock."""
     return term_s / SLOWEST_CLOCK
 
 
 @attrs.frozen
 class LeaseTimes:
-    """The figures of a lease: all are durations.
-
-    :param trust_s: a holder relies on a confirmed commit for this long, or for as long
-        as that commit says.
-    :param most_trust_s: no commit says more.
-    :param doubt_s: a holder whose commit has failed, and is tried for longer, stops
-        ordering and tells its followers that they may take over.
-    :param slow_doubt_s: the same while no try of the commit has failed: a store that
-        is 60 times slower takes 0.55 s for one, and others fare no better there.
-    :param most_doubt_s: the longest such time, however slow the store was before.
-    :param silence_margin_s: a follower takes over when the commits stood still for
-        longer, on its own clock, than the last one may be relied on, so that the old
-        holder has stopped by then.
-    :param beat_s: between the holder's beats to its followers.
-    :param beat_lost_s: without a beat for longer, the store is asked.
-    :param renew_s: a holder commits at least this often.
-    :param stagger_s: candidates spread over this time, so that one write wins.
-    :param defer_s: a daemon leaves larger ones so much more time, which is as far
-        as their own suspicions lie apart; a holder on a machine that is too small
-        for the jobs serves worse than one that comes later.
-    :param sure_again_s: once the store serves us, a doubtful holder is given so long
-        to commit: longer than it pauses between tries.
-    :param slow_read_s: the store is slow for a follower whose read takes longer:
-        usually 7 ms, 0.25 s in a store 60 times slower.
-    :param slow_patience_s: then a doubtful holder is left alone for so long: about as
-        long as its runs are held.
-    :param retry_s: after a failed take-over from a doubtful holder.
-    :param feed_wait_s: one call of a feed waits this long for a change; one that was
-        sent just before an outage ends so much later, and 0.8 s.
+    """The settings of a lease; all are durations.
+
+    :param trust_s: the minimum lease term: how long the lease is valid after a
+        confirmed commit was sent, unless that commit states a longer term.
+    :param most_trust_s: the maximum lease term.
+    :param doubt_s: how long a commit may be tried once a try has failed. After this,
+        the holder stops sending orders and reports that it cannot commit, so its
+        followers may acquire the cell.
+    :param slow_doubt_s: the same while no try has failed. A commit takes 0.55 s in a
+        store that is 60 times slower, and no other holder would be faster there.
+    :param most_doubt_s: the upper limit of this time, however slow earlier commits
+        were.
+    :param silence_margin_s: how much longer than the last lease term, on its own clock,
+        a follower waits after the commits have stalled, so that the old holder has
+        stopped by then.
+    :param beat_s: interval between the holder's heartbeats to its followers.
+    :param beat_lost_s: a follower checks the store after this time without a heartbeat.
+    :param renew_s: the maximum interval between a holder's commits.
+    :param stagger_s: candidates are spread over this time so that one write wins.
+    :param defer_s: additional time for which a daemon defers to larger ones. It covers
+        the difference between the times of their suspicions; a holder on a machine that
+        is too small for the jobs is worse than a holder that starts later.
+    :param sure_again_s: how long a holder that reported failing commits may take to
+        commit once the store serves the followers; longer than its maximum backoff.
+    :param slow_read_s: a follower regards the store as slow if a read takes longer. A
+        read usually takes 7 ms, and 0.25 s in a store that is 60 times slower.
+    :param slow_patience_s: how long a holder that cannot commit keeps the cell while
+        the store is slow; about as long as a hold call extends its runs.
+    :param retry_s: pause after a failed acquisition from a holder that cannot commit.
+    :param feed_wait_s: how long one call of a feed waits for a change. A call that was
+        sent just before an outage ends after this time plus 0.8 s.
     """
 
     trust_s: float = 1.3
@@ -72,25 +75,28 @@
 
     @property
     def max_validity_s(self) -> float:
-        """After so long no holder relies on a commit of which nothing is known."""
+        """How long the lease can be valid after a commit of unknown term."""
         return on_slowest_clock_s(self.most_trust_s)
 
     def term_s(self, commit_s: float) -> float:
-        """Return for how long a commit may be relied on.
+        """Return the lease term that a commit grants.
 
-        The next one is confirmed twice as long after this one begins as commits take. A
-        store 90 times slower takes 0.85 s for one: with 1.3 s its holder relied on each
-        for half of the time, refused hand-ins and started nothing for 6 s of a day.
+        The next commit is confirmed two commit durations after this one begins. In a
+        store that is 90 times slower a commit takes 0.85 s: a fixed term of 1.3 s would
+        leave the lease valid for only half of the time, and the holder would refuse
+        submissions and start no tasks for 6 s of a day.
 
-        :param commit_s: how long a commit took lately.
+        :param commit_s: the duration of recent commits.
         """
         wanted_s = TERM_COMMIT_FACTOR * commit_s + self.renew_s
         return min(max(self.trust_s, wanted_s), self.most_trust_s)
 
     def suspect_after_s(self, commit_s: float) -> float:
-        """Return how long a commit may just take before its holder doubts itself.
+        """Return how long a commit may take before the holder suspects a failure.
 
-        :param commit_s: how long a commit took lately.
+        This applies while no try of the commit has failed.
+
+        :param commit_s: the duration of recent commits.
         """
         return min(
             max(self.slow_doubt_s, SUSPICION_COMMIT_FACTOR * commit_s),
