--- a/src/streamthread/cell/members.py
+++ b/src/streamthread/cell/members.py
@@ -1,4 +1,4 @@
-"""The other daemons of the cell: where they listen, and telling them news."""
+"""The other daemons of the cell: their addresses, and announcements to them."""
 
 import asyncio
 import typing as t
@@ -24,27 +24,29 @@
 log = logbook.Logger("streamthread.cell")
 
 RETRY_S = 0.25
-"""Pause before the store, or a peer that did not answer, is tried again."""
+"""Pause before another try at the store or at a peer that did not answer."""
 
 LARGER_FACTOR = 1.2
-"""A peer counts as larger with this many times our processor."""
+"""A peer counts as larger if it has more than this multiple of our CPU cores."""
 
 MAX_CONCURRENT_ANNOUNCEMENTS = 32
-"""Peers that are told side by side: with 300 of them, channels to all take 9 MB at the
-one that tells. Told in turns of 10 ms, the last one hears 0.1 s later."""
+"""Maximum number of concurrent announcements. With 300 peers, channels to all of them
+would take 9 MB at the sender. At 10 ms per round, the last peer is notified 0.1 s
+later."""
 
 ANNOUNCE_TRIES = 12
-"""A peer behind a cut is told again for some 12 s: as long as cuts last."""
+"""Maximum tries of an announcement. A peer behind a network partition is retried for
+about 12 s, which is as long as partitions last."""
 
 
 class Members:
-    """Knows the peers from the store and from their own announcements.
+    """Tracks the peers through the store and through their announcements.
 
-    A daemon that the store turns away learns of a new holder from its peers.
+    A daemon that the store rejects learns of a new holder from its peers.
 
-    :param cores: how much processor this daemon has.
-    :param on_owner_update: takes what a peer says of the holder.
-    :param notes: is told of members whose rows can't be read.
+    :param cores: the CPU cores of this daemon.
+    :param on_owner_update: called with a peer's update on the holder.
+    :param notes: collects the members whose rows cannot be decoded.
     """
 
     def __init__(
@@ -69,14 +71,14 @@
         self.addresses: dict[str, str] = {}
         self._peers_cores: dict[str, float] = {}
 
-    async def join(self, news: t.Callable[[], pb.OwnerNews]) -> None:
-        """Write our row, read the others' and greet them."""
+    async def join(self, get_update: t.Callable[[], pb.OwnerNews]) -> None:
+        """Write our row, read the rows of the other members and announce ourselves."""
         row = StoredRow(
             TABLE_MEMBERS, self._part, self._daemon_id, self._peers.address.encode()
         )
         while not await self._join_once(row):
             await asyncio.sleep(RETRY_S)
-        self.announce_soon(news())
+        self.announce_soon(get_update())
 
     async def _join_once(self, row: StoredRow) -> bool:
         try:
@@ -99,7 +101,7 @@
         self.addresses.setdefault(daemon_id, address)
 
     def on_announcement(self, announcement: pb.Announcement) -> None:
-        """Take a peer's announcement."""
+        """Process a peer's announcement."""
         if announcement.daemon_id and announcement.daemon_id != self._daemon_id:
             if is_host_port(announcement.address):
                 self.addresses[announcement.daemon_id] = announcement.address
@@ -107,7 +109,7 @@
         self._on_owner_update(announcement.owner)
 
     def announcement(self, owner: pb.OwnerNews) -> pb.Announcement:
-        """Return what this daemon tells its peers of itself and the holder."""
+        """Return the announcement of this daemon and the holder for the peers."""
         return pb.Announcement(
             daemon_id=self._daemon_id,
             address=self._peers.address,
@@ -116,9 +118,9 @@
         )
 
     def has_larger_peer(self, excluding: str) -> bool:
-        """Whether some peer has clearly more processor than this daemon.
+        """Whether any peer has clearly more CPU cores than this daemon.
 
-        :param excluding: a peer that does not count, since it seems to be gone.
+        :param excluding: a peer to ignore because it seems to have exited.
         """
         return any(
             cores > LARGER_FACTOR * self._cores
@@ -127,7 +129,7 @@
         )
 
     def largest(self, daemon_ids: t.Iterable[str]) -> str:
-        """Return the one with most processor; an empty text if there is none."""
+        """Return the daemon with the most CPU cores, or an empty string if none."""
         return max(
             sorted(daemon_ids),
             key=lambda daemon_id: self._peers_cores.get(daemon_id, 0.0),
@@ -135,20 +137,20 @@
         )
 
     def announce_soon(self, owner: pb.OwnerNews) -> None:
-        """Tell all peers who holds the cell."""
-        news = self.announcement(owner)
+        """Notify all peers of the cell's holder, without waiting for their answers."""
+        update = self.announcement(owner)
         for daemon_id, address in list(self.addresses.items()):
-            task = asyncio.ensure_future(self._announce(daemon_id, address, news))
+            task = asyncio.ensure_future(self._announce(daemon_id, address, update))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def _announce(
-        self, daemon_id: str, address: str, news: pb.Announcement
+        self, daemon_id: str, address: str, update: pb.Announcement
     ) -> None:
         for _ in range(ANNOUNCE_TRIES):
             try:
                 async with self._announce_slots:
-                    answer = await self._peers.announce(address, news)
+                    answer = await self._peers.announce(address, update)
                 self.on_announcement(answer)
                 return
             except PeerUnavailableError:
@@ -156,6 +158,6 @@
         log.info("peer-not-told", extra={"peer": daemon_id, "address": address})
 
     def close(self) -> None:
-        """Stop telling."""
+        """Cancel all pending announcements."""
         for task in self._tasks:
             task.cancel()
