--- a/src/streamthread/cell/owner_registry.py
+++ b/src/streamthread/cell/owner_registry.py
@@ -1,4 +1,4 @@
-"""What is known of the cell's owner, from the store and from peers."""
+"""The owner of the cell, as this daemon knows it from the store and from peers."""
 
 import asyncio
 import typing as t
@@ -31,16 +31,18 @@
 
 
 class OwnerRegistry:
-    """The newest owner that this daemon has heard of.
+    """The newest owner that this daemon knows.
 
-    :param changed: set when another owner is known.
-    :param known: set once the store has told of the owner, or that there is none.
-    :param version: of the owner row; behind where a peer told of the owner.
-    A row that can't be read changes nothing here, and is not replaced: whoever wrote it
-    may hold the cell, under a fencing token that we must not fall short of.
+    A row that cannot be decoded changes nothing here and is not replaced: the daemon
+    that wrote it may hold the cell, and our fencing token must not be lower than its
+    token.
 
+    :param changed: set when another owner is known.
+    :param known: set once the store has returned the owner, or that there is none.
+    :param version: the version of the owner row; it is outdated if the current owner
+        was reported by a peer.
     :param on_changed: called with each new owner.
-    :param notes: is told of a row that can't be read.
+    :param notes: collects rows that cannot be decoded.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         self.owner: Owner | None = None
 
     async def watch(self, feed_wait_s: float) -> None:
-        """Keep the owner row as the store last told it, until cancelled."""
+        """Follow the owner row in the store until cancelled."""
         feed = TableFeed(self._store, TABLE_OWNER, self._part, feed_wait_s)
         while True:
             try:
@@ -76,9 +78,9 @@
                 await asyncio.sleep(OWNER_RETRY_S)
 
     async def reread(self) -> bool:
-        """Read the owner row: what we know of it may be old, or from a peer.
+        """Read the owner row, since the known one may be outdated or from a peer.
 
-        :return: whether the store answered with a row that can be read, or none.
+        :return: whether the store answered, and the row can be decoded if there is one.
         """
         page = await read_or_none(self._store, TABLE_OWNER, self._part)
         if page is None:
@@ -88,9 +90,9 @@
         return not self._unreadable
 
     async def find_version(self, owner: Owner) -> int | None:
-        """Return the version with which an owner stands in the row.
+        """Return the version of the owner row if it names this owner.
 
-        :return: 0 where another one stands there, None where it cannot be read.
+        :return: 0 if the row does not name this owner, None if it cannot be read now.
         """
         page = await read_or_none(self._store, TABLE_OWNER, self._part)
         if page is None:
@@ -103,7 +105,7 @@
         return 0
 
     def adopt(self, row: StoredRow) -> None:
-        """Take the owner row as it was read, unless a newer one is known."""
+        """Adopt the owner row as it was read, unless a newer one is known."""
         if row.version <= self.version or row.value is None:
             return
         owner = self._decode(row.value)
@@ -114,7 +116,7 @@
             self._set(owner, "store")
 
     def _decode(self, value: bytes) -> Owner | None:
-        """Return the owner that a row names, or None: it can't be read."""
+        """Return the owner that a row names, or None if it cannot be decoded."""
         try:
             owner = Owner.decode(value)
         except UnreadableError as error:
@@ -125,9 +127,9 @@
         return owner
 
     def on_peer_report(self, update: pb.OwnerNews) -> None:
-        """Take from a peer who holds the cell, if we do not know better."""
+        """Adopt the owner that a peer reports, unless a newer one is known."""
         known = self.owner
-        heard = Owner(
+        reported = Owner(
             update.daemon_id,
             update.incarnation,
             update.address,
@@ -135,21 +137,21 @@
             update.released,
             update.successor,
         )
-        rank = (heard.token, heard.released)
-        if not is_host_port(heard.address):
+        rank = (reported.token, reported.released)
+        if not is_host_port(reported.address):
             return
-        if not heard.token or (known and rank <= (known.token, known.released)):
+        if not reported.token or (known and rank <= (known.token, known.released)):
             return
-        self._set(heard, "peer")
+        self._set(reported, "peer")
 
     def news(self) -> pb.OwnerNews:
-        """Return what a peer should know of the owner."""
+        """Return the update on the owner that is sent to peers."""
         if self.owner is None:
             return pb.OwnerNews()
         return pb.OwnerNews(**attrs.asdict(self.owner))
 
     def on_written(self, owner: Owner, version: int) -> None:
-        """Know what we wrote ourselves, before the feed tells of it."""
+        """Record an owner that we wrote, before the feed returns it."""
         self.version = version
         self.owner = owner
         self.changed.set()
