--- a/src/streamthread/cell/__init__.py
+++ b/src/streamthread/cell/__init__.py
@@ -1,4 +1,7 @@
-"""A cell: pools that share machines, run by one daemon at a time, the holder."""
+"""A cell: pools that share machines, run by one daemon at a time, the holder.
+
+This package contains the holder's lease, its commits and the calls between daemons.
+"""
 
 from .commits import CommitLog
 from .lease import CellLease
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -104,7 +104,7 @@
 
     def news(self) -> pb.OwnerNews:
         """Return the update on the holder that is sent to peers."""
-        return self.registry.news()
+        return self.registry.owner_update()
 
     def is_holder_alive(self) -> bool:
         """Whether a recent heartbeat came from a holder that can commit."""
--- a/src/streamthread/cell/owner_registry.py
+++ b/src/streamthread/cell/owner_registry.py
@@ -144,7 +144,7 @@
             return
         self._set(reported, "peer")
 
-    def news(self) -> pb.OwnerNews:
+    def owner_update(self) -> pb.OwnerNews:
         """Return the update on the owner that is sent to peers."""
         if self.owner is None:
             return pb.OwnerNews()
--- a/src/streamthread/cell/reading.py
+++ b/src/streamthread/cell/reading.py
@@ -1,4 +1,4 @@
-"""Reads of the cell's small tables, where no answer is an answer, too."""
+"""Reads of the cell's small tables that return None instead of raising an error."""
 
 import logbook
 
@@ -15,7 +15,7 @@
 
 
 async def read_or_none(store: RowStore, table: str, part: str) -> Page | None:
-    """Read a table of one row, or return None: the store does not answer."""
+    """Read a table of one row, or return None if the store does not answer."""
     try:
         return await store.read(table, part)
     except (StoreUnavailableError, OutcomeUnknownError):
@@ -23,7 +23,7 @@
 
 
 def head_or_none(value: bytes) -> Head | None:
-    """Decode a head row, or return None: it can't be read, so that it isn't ours."""
+    """Decode a head row, or return None if it cannot be decoded and so is not ours."""
     try:
         return Head.decode(value)
     except UnreadableError as error:
--- a/src/streamthread/cell/rows.py
+++ b/src/streamthread/cell/rows.py
@@ -1,4 +1,4 @@
-"""The rows that say who holds the cell and how far its commits stand."""
+"""The stored rows that identify the cell's holder and its latest commit."""
 
 import json
 import uuid
@@ -39,17 +39,17 @@
 
 
 def new_nonce() -> str:
-    """Return a text that tells one transaction from all others."""
+    """Return a unique identifier of a transaction."""
     return uuid.uuid4().hex[:16]
 
 
 @attrs.frozen
 class Owner:
-    """Who holds the cell.
+    """The holder of the cell.
 
-    :param token: the fencing token; each holder's is higher than the one before.
-    :param released: the holder has left in order and holds it no more.
-    :param successor: who is asked to take over first, where it was released.
+    :param token: the fencing token, which increases with each holder.
+    :param released: whether the holder has released the cell.
+    :param successor: the daemon that should acquire a released cell first.
     """
 
     daemon_id: str
@@ -60,27 +60,28 @@
     successor: str = ""
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Encode the row's value."""
         return json.dumps(attrs.asdict(self)).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> "Owner":
-        """Return what a row's value says.
+        """Decode a row's value.
 
-        :raises UnreadableError: it names no owner.
+        :raises UnreadableError: the value does not describe an owner.
         """
         return _OWNERS.decode(value, f"{TABLE_OWNER}/{OWNER_KEY}")
 
 
 @attrs.frozen
 class Head:
-    """Names the last transaction, so that a lost answer can be settled.
+    """Identifies the last transaction, so that its outcome can be read back.
 
-    Every commit requires the version of this row that it saw and replaces it:
-    of two commits from one version only one takes effect, however late.
+    Every commit requires the version of this row that it saw, and replaces the row. Of
+    two commits that saw the same version only one takes effect, however late they
+    arrive.
 
-    :param term_s: its holder relies on this transaction for so long after it was
-        sent; None: it is not said.
+    :param term_s: how long the holder's lease is valid after this transaction was sent;
+        None if it is not stated.
     """
 
     nonce: str
@@ -88,28 +89,30 @@
     term_s: float | None = None
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Encode the row's value."""
         return json.dumps([self.nonce, self.token, self.term_s]).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> "Head":
-        """Return what a row's value says.
+        """Decode a row's value.
 
-        :raises UnreadableError: it names no transaction.
+        :raises UnreadableError: the value does not describe a transaction.
         """
         row = _HEADS.decode(value, f"{TABLE_HEAD}/{HEAD_KEY}")
         return cls(row.nonce, row.token, row.term_s)
 
 
 def decode_address(daemon_id: str, value: bytes) -> str:
-    """Return the address that a member's row holds.
+    """Decode the address in a member's row.
 
-    :raises UnreadableError: nobody could be called there.
+    :raises UnreadableError: the value is not a valid address.
     """
     text = value.decode(errors="replace")
     if not is_host_port(text):
         key = f"{TABLE_MEMBERS}/{daemon_id}"
-        raise UnreadableError("is no host:port", remedy=OWN_ROW_REMEDY, key=key)
+        raise UnreadableError(
+            "is not a host:port address", remedy=OWN_ROW_REMEDY, key=key
+        )
     return text
 
 
--- a/src/streamthread/cell/tests/test_write_outcomes.py
+++ b/src/streamthread/cell/tests/test_write_outcomes.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from streamthread.cell.write_outcomes import MAX_PATIENCE_S
-from streamthread.cell.write_outcomes import MIN_PATIENCE_S
+from streamthread.cell.write_outcomes import MAX_ANSWER_TIMEOUT_S
+from streamthread.cell.write_outcomes import MIN_ANSWER_TIMEOUT_S
 from streamthread.cell.write_outcomes import ResponseTimes
 from streamthread.cell.write_outcomes import version_written
 from streamthread.clocks import boot_s
@@ -58,12 +58,12 @@
         assert await version_written(write, _read_back(0), ResponseTimes()) == 0
 
     async def test_waits_for_a_store_that_is_slow_for_all(self) -> None:
-        write = _answered(MIN_PATIENCE_S * 3, DONE)
-        read_back = _read_back(0, after_s=MIN_PATIENCE_S * 1.5)
+        write = _answered(MIN_ANSWER_TIMEOUT_S * 3, DONE)
+        read_back = _read_back(0, after_s=MIN_ANSWER_TIMEOUT_S * 1.5)
         assert await version_written(write, read_back, ResponseTimes()) == 7
 
     async def test_waits_while_nothing_can_be_read(self) -> None:
-        write = _answered(MIN_PATIENCE_S * 3, DONE)
+        write = _answered(MIN_ANSWER_TIMEOUT_S * 3, DONE)
         assert await version_written(write, _read_back(None), ResponseTimes()) == 7
 
     async def test_is_found_soon_after_an_outage(self) -> None:
@@ -100,23 +100,23 @@
             )
 
 
-class TestPatience:
+class TestAnswerTimeout:
     @given(st.lists(st.floats(0, 5), max_size=50))
     def test_stays_within_its_bounds(self, took_s: list[float]) -> None:
         times = ResponseTimes()
         for each_s in took_s:
             times.observe(each_s)
-        assert MIN_PATIENCE_S <= times.patience_s <= MAX_PATIENCE_S
+        assert MIN_ANSWER_TIMEOUT_S <= times.answer_timeout_s <= MAX_ANSWER_TIMEOUT_S
 
     def test_follows_a_store_that_becomes_slow(self) -> None:
         times = ResponseTimes()
         for _ in range(20):
             times.observe(0.3)
-        assert times.patience_s > 0.3
+        assert times.answer_timeout_s > 0.3
 
     def test_doubles_while_no_answer_comes(self) -> None:
         times = ResponseTimes()
         times.back_off()
-        assert times.patience_s == 2 * MIN_PATIENCE_S
+        assert times.answer_timeout_s == 2 * MIN_ANSWER_TIMEOUT_S
         times.observe(0.0)
-        assert times.patience_s == MIN_PATIENCE_S
+        assert times.answer_timeout_s == MIN_ANSWER_TIMEOUT_S
--- a/src/streamthread/cell/write_outcomes.py
+++ b/src/streamthread/cell/write_outcomes.py
@@ -1,4 +1,4 @@
-"""Writes whose answer does not come: what they did is looked up meanwhile."""
+"""Determines the outcome of writes by reading back if their answers are overdue."""
 
 import asyncio
 import typing as t
@@ -12,79 +12,81 @@
 __all__ = ["ReadBack", "ResponseTimes", "version_written"]
 
 ReadBack = t.Callable[[], t.Awaitable[int | None]]
-"""Reads back whether a write has taken effect: the version that it made, 0 where it
-has not, None where that cannot be read now."""
+"""Reads back whether a write took effect: returns the version that it created, 0 if it
+took no effect, or None if this cannot be read now."""
 
 MEAN_WEIGHT = 0.125
-"""Of the newest answer in the mean, as in TCP's estimate of round trips (RFC 6298)."""
+"""Weight of the newest answer in the mean, as in the RTT estimate of TCP (RFC 6298)."""
 
 DEVIATION_WEIGHT = 0.25
-"""The same of the newest deviation."""
+"""Weight of the newest deviation in the mean deviation."""
 
 DEVIATION_FACTOR = 4.0
-"""An answer that takes so many deviations longer than the mean is overdue."""
+"""An answer that exceeds the mean by this many deviations is overdue."""
 
-MIN_PATIENCE_S = 0.08
-"""A commit takes 7 ms; a holder that is busy gets to its answer up to 50 ms later."""
+MIN_ANSWER_TIMEOUT_S = 0.08
+"""Minimum answer time-out. A commit takes 7 ms, and a busy holder processes its answer
+up to 50 ms later."""
 
-MAX_PATIENCE_S = 0.6
-"""A look is made this often at least: a store 60 times slower takes 0.3 s."""
+MAX_ANSWER_TIMEOUT_S = 0.6
+"""Maximum answer time-out. A store that is 60 times slower answers in 0.3 s."""
 
 READ_BACK_TIMEOUT_S = 0.4
-"""A look takes no longer: a read takes 0.25 s in a store 60 times slower, and one that
-was sent before the store came back may never be answered."""
+"""Time-out of a read-back. A read takes 0.25 s in a store that is 60 times slower, and
+a read that was sent before the store recovered may never be answered."""
 
 READ_BACK_PAUSE_S = 0.1
-"""Pause before the next look, while the answer is overdue."""
+"""Pause before the next read-back while the answer is overdue."""
 
 GIVE_UP_FACTOR = 2.0
-"""A write without effect is given up after so many times the patience: in a store that
-is slow for all, a write takes twice as long as a look."""
+"""A write without effect is abandoned after this multiple of the answer time-out. In a
+store that is slow for all clients, a write takes twice as long as a read-back."""
 
 
 @attrs.define
 class ResponseTimes:
-    """How long the store's answers took lately."""
+    """Estimates how long the store's answers take."""
 
     _mean_s: float = 0.0
     _deviation_s: float = 0.0
     _doublings: int = 0
 
     @property
-    def patience_s(self) -> float:
-        """How long an answer may take before its effect is looked up."""
+    def answer_timeout_s(self) -> float:
+        """How long an answer may take before its effect is read back."""
         usual_s = self._mean_s + DEVIATION_FACTOR * self._deviation_s
-        patience_s = max(MIN_PATIENCE_S, usual_s) * 2.0**self._doublings
-        return min(patience_s, MAX_PATIENCE_S)
+        answer_timeout_s = max(MIN_ANSWER_TIMEOUT_S, usual_s) * 2.0**self._doublings
+        return min(answer_timeout_s, MAX_ANSWER_TIMEOUT_S)
 
     def observe(self, took_s: float) -> None:
-        """Take how long an answer took."""
+        """Record how long an answer took."""
         self._doublings = 0
         error_s = abs(took_s - self._mean_s)
         self._deviation_s += (error_s - self._deviation_s) * DEVIATION_WEIGHT
         self._mean_s += (took_s - self._mean_s) * MEAN_WEIGHT
 
     def back_off(self) -> None:
-        """Wait longer next time: an answer did not come at all."""
-        if self.patience_s < MAX_PATIENCE_S:
+        """Double the answer time-out, because an answer did not arrive at all."""
+        if self.answer_timeout_s < MAX_ANSWER_TIMEOUT_S:
             self._doublings += 1
 
 
 async def version_written(
     write: t.Awaitable[TransactResult], read_back: ReadBack, times: ResponseTimes
 ) -> int:
-    """Return the version that a write made, or 0 where it has not taken effect.
+    """Return the version that a write created, or 0 if it has not taken effect.
 
-    While its answer is overdue, its effect is looked up beside it. A write that has
-    had none, though the store answers the look in time, is given up: its connection
-    is most likely dead. It may still take effect later, if its conditions hold then.
+    While the answer is overdue, the effect of the write is read back concurrently. If
+    the store answers the read-back in time and the write has had no effect, the write
+    is abandoned, because its connection is most likely dead. The write may still take
+    effect later if its conditions hold then.
 
-    :raises StoreUnavailableError: the store refused it; nothing was done.
+    :raises StoreUnavailableError: the store refused the write; nothing was written.
     """
     began_at_s = boot_s()
     answer = asyncio.ensure_future(write)
     try:
-        wait_s = times.patience_s
+        wait_s = times.answer_timeout_s
         while not await _is_done(answer, wait_s):
             wait_s = READ_BACK_PAUSE_S
             read_at_s = boot_s()
@@ -92,8 +94,8 @@
             if answer.done():
                 break
             now_s = boot_s()
-            quick = now_s - read_at_s < times.patience_s
-            overdue = now_s - began_at_s > GIVE_UP_FACTOR * times.patience_s
+            quick = now_s - read_at_s < times.answer_timeout_s
+            overdue = now_s - began_at_s > GIVE_UP_FACTOR * times.answer_timeout_s
             if version or (version == 0 and quick and overdue):
                 times.back_off()
                 return version
@@ -116,7 +118,10 @@
 async def _read_back_concurrently(
     answer: "asyncio.Future[TransactResult]", read_back: ReadBack
 ) -> int | None:
-    """Look until that ends, takes too long, or the answer comes."""
+    """Read back until the result, the time-out or the answer of the write arrives.
+
+    :return: the result of the read-back, or None if it did not complete.
+    """
     reading = asyncio.ensure_future(read_back())
     try:
         await asyncio.wait(
