--- a/src/streamthread/cell/write_outcomes.py
+++ b/src/streamthread/cell/write_outcomes.py
@@ -29,7 +29,8 @@
 up to 50 ms later."""
 
 MAX_ANSWER_TIMEOUT_S = 0.6
-"""Maximum answer time-out. A store that is 60 times slower answers in 0.3 s."""
+"""Maximum answer time-out, after which a read-back starts at the latest. A store that
+is 60 times slower answers in 0.3 s."""
 
 READ_BACK_TIMEOUT_S = 0.4
 """Time-out of a read-back. A read takes 0.25 s in a store that is 60 times slower, and
