--- a/src/streamthread/cell/tests/test_commits.py
+++ b/src/streamthread/cell/tests/test_commits.py
@@ -1,4 +1,4 @@
-"""When a holder doubts that it can commit."""
+"""Tests the commit log, and when a holder suspects that it cannot commit."""
 
 import asyncio
 import base64
@@ -20,7 +20,7 @@
 TIMES = LeaseTimes()
 
 ROW_BYTES = 65536
-"""The most that the store takes in a row."""
+"""The maximum size of a row in the store."""
 
 SMALLEST_LINK_BYTES_PER_S = 5_000_000 / 8
 
@@ -34,28 +34,28 @@
     return log
 
 
-def _is_doubtful(log: CommitLog) -> bool:
+def _is_overdue(log: CommitLog) -> bool:
     return log.is_commit_overdue(TIMES.doubt_s, TIMES.slow_doubt_s)
 
 
-class TestDoubt:
-    async def test_is_none_without_a_commit(self) -> None:
-        assert not _is_doubtful(_log(None, failed=False))
+class TestOverdueCommit:
+    async def test_is_not_assumed_without_a_commit(self) -> None:
+        assert not _is_overdue(_log(None, failed=False))
 
-    async def test_leaves_a_slow_store_time(self) -> None:
-        assert not _is_doubtful(_log(0.7, failed=False))
-        assert _is_doubtful(_log(1.0, failed=False))
+    async def test_allows_for_a_slow_store(self) -> None:
+        assert not _is_overdue(_log(0.7, failed=False))
+        assert _is_overdue(_log(1.0, failed=False))
 
-    async def test_comes_sooner_once_a_try_has_failed(self) -> None:
-        assert not _is_doubtful(_log(0.5, failed=True))
-        assert _is_doubtful(_log(0.7, failed=True))
+    async def test_is_detected_sooner_after_a_failed_try(self) -> None:
+        assert not _is_overdue(_log(0.5, failed=True))
+        assert _is_overdue(_log(0.7, failed=True))
 
-    async def test_comes_before_trust_is_over(self) -> None:
+    async def test_is_detected_before_the_lease_expires(self) -> None:
         assert TIMES.doubt_s < TIMES.slow_doubt_s < TIMES.trust_s
 
 
 class TestBatches:
-    async def test_cross_the_smallest_link_before_the_holder_doubts_itself(
+    async def test_cross_the_slowest_link_before_the_holder_suspects_a_failure(
         self,
     ) -> None:
         log = _log(None, failed=False)
@@ -68,7 +68,7 @@
 
 
 class _Store:
-    """Holds each commit until a test lets it go on, or has another daemon take over."""
+    """Blocks each commit until a test allows it; can reject it for another holder."""
 
     def __init__(self) -> None:
         self.commits = 0
@@ -85,7 +85,7 @@
 
 
 RENEW_S = 3600.0
-"""No commit of its own."""
+"""Long enough that no lease renewal occurs."""
 
 
 async def _until_committing(store: _Store, commits: int) -> None:
@@ -131,7 +131,7 @@
 
 
 class _LossyStore:
-    """Carries the first write out, and answers nothing before the second one."""
+    """Executes the first write, but answers nothing before the second one."""
 
     def __init__(self) -> None:
         self.sent_at_s: list[float] = []
@@ -158,7 +158,7 @@
 
 class TestLateConfirmation:
     async def test_counts_from_the_try_that_took_effect(self) -> None:
-        """A follower counts the stalled_commits from there, not from a later try."""
+        """A follower measures the stall from that try, not from a later one."""
         store = _LossyStore()
         log = CommitLog(t.cast(t.Any, store), "main", 1, 1, 0.0, 0.01)
         running = asyncio.ensure_future(log.run())
@@ -166,7 +166,7 @@
             await asyncio.sleep(0)
         assert len(store.sent_at_s) == 2
         assert log.confirmed_at_s <= store.sent_at_s[0]
-        # Relied on for little longer, it is followed by another one at once.
+        # The lease expires soon, so another commit follows immediately.
         while log.sequence < 2:
             await asyncio.sleep(0)
         assert log.confirmed_at_s > store.sent_at_s[1]
@@ -174,57 +174,57 @@
 
 
 class TestTerm:
-    """For how long a commit is relied on."""
+    """The lease term that a commit grants."""
 
-    async def test_is_the_usual_one_while_commits_are_quick(self) -> None:
+    async def test_is_minimal_while_commits_are_fast(self) -> None:
         assert TIMES.term_s(0.007) == TIMES.trust_s
         assert TIMES.term_s(0.3) == TIMES.trust_s
 
-    async def test_outlasts_two_slow_commits_up_to_a_bound(self) -> None:
+    async def test_exceeds_two_slow_commits_up_to_a_maximum(self) -> None:
         assert TIMES.term_s(0.85) > 2 * 0.85
         assert TIMES.term_s(10.0) == TIMES.most_trust_s
 
-    async def test_is_over_after_the_doubt_about_the_next_commit(self) -> None:
+    async def test_ends_after_the_next_commit_is_overdue(self) -> None:
         for commit_s in (0.0, 0.3, 0.6, 0.85, 1.0, 4.0):
             assert TIMES.suspect_after_s(commit_s) < TIMES.term_s(commit_s)
 
-    async def test_counts_once_it_is_confirmed(self) -> None:
+    async def test_takes_effect_once_it_is_confirmed(self) -> None:
         log = _log(None, failed=False)
         log._durations_s.append(0.85)
         log._sent_term_s = TIMES.term_s(log.commit_s)
         assert log.term_s == TIMES.trust_s
 
-    async def test_is_the_shortest_that_a_try_on_its_way_has_said(self) -> None:
-        """A follower may read that one, and takes over when it is over."""
+    async def test_is_the_shortest_of_any_try_in_flight(self) -> None:
+        """A follower may read that term and acquire the cell when it expires."""
         log = _log(None, failed=False)
         log._confirmed_term_s = TIMES.most_trust_s
         log._sent_term_s = TIMES.trust_s
         assert log.term_s == TIMES.trust_s
 
 
-class TestTakenBack:
-    """A row that was marked and is not to be written after all."""
+class TestUnmark:
+    """Cancels the writing of a marked row."""
 
-    async def test_is_one_that_no_transaction_has_carried(self) -> None:
+    async def test_succeeds_before_a_transaction_carries_the_row(self) -> None:
         log = _log(None, failed=False)
         log.mark("table", "key", lambda: b"")
         assert log.unmark("table", "key")
         assert not log.is_marked("table", "key")
         assert not log.unmark("table", "key")
 
-    async def test_is_none_that_a_transaction_carries(self) -> None:
+    async def test_fails_while_a_transaction_carries_the_row(self) -> None:
         log = _log(None, failed=False)
         log.mark("table", "key", lambda: b"")
         log._next_batch()
         assert not log.unmark("table", "key")
-        # Marked again meanwhile: the first change is on its way all the same.
+        # The row is marked again, but its first change is still in flight.
         log.mark("table", "key", lambda: b"")
         assert not log.unmark("table", "key")
         assert log.is_marked("table", "key")
 
 
 class TestWritten:
-    async def test_is_a_row_before_what_was_marked_after_it(self) -> None:
+    async def test_does_not_wait_for_rows_that_were_marked_later(self) -> None:
         store = _Store()
         log = CommitLog(t.cast(t.Any, store), "main", 1, 1, 0.0, RENEW_S)
         running = asyncio.ensure_future(log.run())
--- a/src/streamthread/cell/tests/test_lease.py
+++ b/src/streamthread/cell/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Two daemons that want the cell at one time: one gets it."""
+"""Tests that only one of several daemons acquires the cell, and from which time."""
 
 import asyncio
 import math
@@ -29,7 +29,7 @@
 
 
 class _Store:
-    """Rows in memory, with the conditions of the platform's store."""
+    """Stores rows in memory and checks conditions like the platform's store."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], StoredRow] = {}
@@ -62,7 +62,7 @@
 
 
 class _Peers:
-    """Answers for the old holder; meanwhile something else may happen."""
+    """Answers for the old holder, and runs a callback during the call."""
 
     address = "127.0.0.1:2"
 
@@ -96,21 +96,21 @@
     return lease
 
 
-class TestTakeOver:
-    async def test_of_a_doubtful_holder_succeeds(self) -> None:
+class TestAcquisition:
+    async def test_from_a_holder_that_cannot_commit_succeeds(self) -> None:
         store = _Store()
         lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.CANNOT_COMMIT)
         assert acquired is not None
         assert acquired.owner.token == 2
 
-    async def test_is_left_when_the_holder_commits_again(self) -> None:
+    async def test_is_abandoned_when_the_holder_commits_again(self) -> None:
         store = _Store()
         lease = _lease(store, _Peers(healthy=True, meanwhile=lambda: None))
         assert await lease._writer.acquire(Suspicion.CANNOT_COMMIT) is None
         assert store.rows[TABLE_OWNER, OWNER_KEY].value == OLD.encode()
 
-    async def test_is_put_off_while_the_store_is_slow_for_all(self) -> None:
+    async def test_is_postponed_while_the_store_is_slow_for_all(self) -> None:
         store = _Store()
         store.read_s = 0.05
         lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
@@ -122,7 +122,7 @@
         acquired = await writer.acquire(Suspicion.CANNOT_COMMIT, None, long_ago_s)
         assert acquired is not None and acquired.owner.token == 2
 
-    async def test_of_a_holder_that_is_gone_is_not_put_off(self) -> None:
+    async def test_from_a_holder_that_exited_is_not_postponed(self) -> None:
         store = _Store()
         store.read_s = 0.05
         lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
@@ -145,55 +145,53 @@
         assert lease.owner == faster
 
 
-class TestAloneAt:
-    """From when on no earlier holder sends an order to a machine."""
+class TestExclusiveFrom:
+    """The time after which no earlier holder sends an order to a machine."""
 
     @staticmethod
-    async def _take_after_doubt(store: _Store, head_version: int) -> AcquiredCell:
+    async def _acquire_after_failure(store: _Store, head_version: int) -> AcquiredCell:
         lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
         stalled_commits = StalledCommits(head_version, exclusive_from_s=5.0)
         acquired = await lease._writer.acquire(Suspicion.CANNOT_COMMIT, stalled_commits)
         assert acquired is not None
         return acquired
 
-    async def test_is_when_a_holder_said_that_it_cannot_commit(self) -> None:
+    async def test_is_when_the_holder_reported_that_it_cannot_commit(self) -> None:
         store = _Store()
         head_version = store.rows[TABLE_HEAD, HEAD_KEY].version
-        acquired = await self._take_after_doubt(store, head_version)
+        acquired = await self._acquire_after_failure(store, head_version)
         assert acquired.exclusive_from_s == 5.0
 
-    async def test_outlasts_the_trust_in_a_commit_that_was_made_since(self) -> None:
+    async def test_follows_the_lease_of_a_commit_that_was_made_since(self) -> None:
         store = _Store()
         head_version = store.rows[TABLE_HEAD, HEAD_KEY].version
         store.put(TABLE_HEAD, HEAD_KEY, Head("later", 1).encode())
         began_at_s = boot_s()
-        acquired = await self._take_after_doubt(store, head_version)
+        acquired = await self._acquire_after_failure(store, head_version)
         assert acquired.exclusive_from_s >= began_at_s + LeaseTimes().trust_s
 
     @pytest.mark.parametrize("why", [Suspicion.PROCESS_GONE, Suspicion.SILENT])
-    async def test_outlasts_the_trust_of_a_holder_that_said_nothing(
-        self, why: Suspicion
-    ) -> None:
+    async def test_follows_the_lease_of_a_silent_holder(self, why: Suspicion) -> None:
         lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
         began_at_s = boot_s()
         acquired = await lease._writer.acquire(why)
         assert acquired is not None
         assert acquired.exclusive_from_s >= began_at_s + lease.times.trust_s
 
-    async def test_is_the_take_over_where_the_holder_released_the_cell(self) -> None:
+    async def test_is_the_acquisition_if_the_holder_released_the_cell(self) -> None:
         lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.RELEASED)
         assert acquired is not None
         assert acquired.exclusive_from_s == acquired.acquired_at_s
 
-    async def test_bounds_what_earlier_holders_extended(self) -> None:
-        """A holder whose port seems closed may go on until its trust is over."""
+    async def test_bounds_the_extensions_of_earlier_holders(self) -> None:
+        """A holder whose port seems closed may send orders until its lease expires."""
         lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.PROCESS_GONE)
         assert acquired is not None
         assert acquired.last_hold_at_s >= acquired.acquired_at_s + lease.times.trust_s
 
-    async def test_of_an_own_earlier_life_bounds_its_holds_by_the_take_over(
+    async def test_of_the_own_earlier_incarnation_bounds_holds_by_the_acquisition(
         self,
     ) -> None:
         lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
@@ -201,13 +199,13 @@
         assert acquired is not None
         assert acquired.last_hold_at_s == acquired.acquired_at_s
 
-    async def test_is_always_where_nobody_held_the_cell(self) -> None:
+    async def test_is_unlimited_if_no_other_daemon_held_the_cell(self) -> None:
         lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.OWN_EARLIER_INCARNATION)
         assert acquired is not None
         assert acquired.exclusive_from_s == -math.inf
 
-    async def test_counts_from_the_standstill_of_a_silent_holder(self) -> None:
+    async def test_is_measured_from_the_stall_of_a_silent_holder(self) -> None:
         store = _Store()
         lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
         began_at_s = boot_s()
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -169,7 +169,7 @@
         "cell/commits.py",
         "        if (table, key) in self._in_flight:\n            return False\n",
         "",
-        ("src/streamthread/cell/tests/test_commits.py::TestTakenBack",),
+        ("src/streamthread/cell/tests/test_commits.py::TestUnmark",),
     ),
     Guard(
         "overdue-hand-ins-are-refused",
