--- a/src/streamthread/cell/acquisition.py
+++ b/src/streamthread/cell/acquisition.py
@@ -12,6 +12,8 @@
 from ..platform.store import Condition
 from ..platform.store import RowStore
 from ..platform.store import StoredRow
+from .answers import ResponseTimes
+from .answers import version_written
 from .owner_registry import OwnerRegistry
 from .peer import PeerLinks
 from .rows import Head
@@ -25,8 +27,6 @@
 from .takeover import StalledCommits
 from .takeover import Suspicion
 from .times import LeaseTimes
-from .write_outcomes import ResponseTimes
-from .write_outcomes import version_written
 
 __all__ = ["OwnerWriter"]
 
--- a/src/streamthread/cell/commits.py
+++ b/src/streamthread/cell/commits.py
@@ -13,6 +13,8 @@
 from ..platform.store import Condition
 from ..platform.store import RowStore
 from ..platform.store import StoredRow
+from .answers import ResponseTimes
+from .answers import version_written
 from .reading import head_or_none
 from .reading import read_or_none
 from .rows import Head
@@ -20,8 +22,6 @@
 from .rows import new_nonce
 from .rows import TABLE_HEAD
 from .times import LeaseTimes
-from .write_outcomes import ResponseTimes
-from .write_outcomes import version_written
 
 __all__ = ["CommitLog", "Encode"]
 
--- a/src/streamthread/cell/tests/test_write_outcomes.py
+++ b/src/streamthread/cell/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Writes without an answer: their effect is looked up, dead connections are left."""
+"""Tests that overdue writes are read back and dead connections are abandoned."""
 
 import asyncio
 import typing as t
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from streamthread.cell.write_outcomes import MAX_ANSWER_TIMEOUT_S
-from streamthread.cell.write_outcomes import MIN_ANSWER_TIMEOUT_S
-from streamthread.cell.write_outcomes import ResponseTimes
-from streamthread.cell.write_outcomes import version_written
+from streamthread.cell.answers import MAX_ANSWER_TIMEOUT_S
+from streamthread.cell.answers import MIN_ANSWER_TIMEOUT_S
+from streamthread.cell.answers import ResponseTimes
+from streamthread.cell.answers import version_written
 from streamthread.clocks import boot_s
 from streamthread.errors import OutcomeUnknownError
 from streamthread.errors import StoreUnavailableError
@@ -43,30 +43,30 @@
 
 
 class TestVersionWritten:
-    async def test_is_what_the_answer_says(self) -> None:
+    async def test_is_the_version_in_the_answer(self) -> None:
         write = _answered(0.0, DONE)
         assert await version_written(write, _read_back(None), ResponseTimes()) == 7
 
-    async def test_is_seen_when_the_answer_is_lost(self) -> None:
+    async def test_is_read_back_when_the_answer_is_lost(self) -> None:
         began_at_s = boot_s()
         write = _answered(NEVER_S, DONE)
         assert await version_written(write, _read_back(9), ResponseTimes()) == 9
         assert boot_s() - began_at_s < SOON_S
 
-    async def test_is_none_where_a_dead_connection_took_the_write(self) -> None:
+    async def test_is_zero_if_the_connection_was_dead(self) -> None:
         write = _answered(NEVER_S, DONE)
         assert await version_written(write, _read_back(0), ResponseTimes()) == 0
 
-    async def test_waits_for_a_store_that_is_slow_for_all(self) -> None:
+    async def test_waits_for_a_store_that_is_slow_for_all_clients(self) -> None:
         write = _answered(MIN_ANSWER_TIMEOUT_S * 3, DONE)
         read_back = _read_back(0, after_s=MIN_ANSWER_TIMEOUT_S * 1.5)
         assert await version_written(write, read_back, ResponseTimes()) == 7
 
-    async def test_waits_while_nothing_can_be_read(self) -> None:
+    async def test_waits_while_the_write_cannot_be_read_back(self) -> None:
         write = _answered(MIN_ANSWER_TIMEOUT_S * 3, DONE)
         assert await version_written(write, _read_back(None), ResponseTimes()) == 7
 
-    async def test_is_found_soon_after_an_outage(self) -> None:
+    async def test_is_determined_soon_after_an_outage(self) -> None:
         reads = [
             _read_back(0, after_s=NEVER_S),
             _read_back(0, after_s=NEVER_S),
@@ -82,7 +82,7 @@
         assert boot_s() - began_at_s < SOON_S
 
     @pytest.mark.parametrize("end", [REFUSED_CONDITION, LOST])
-    async def test_is_looked_up_where_the_end_says_nothing(self, end: t.Any) -> None:
+    async def test_is_read_back_if_the_outcome_is_unknown(self, end: t.Any) -> None:
         assert (
             await version_written(_answered(0.0, end), _read_back(5), ResponseTimes())
             == 5
@@ -92,7 +92,7 @@
             == 0
         )
 
-    async def test_is_surely_none_after_a_refusal(self) -> None:
+    async def test_is_none_after_a_rejection(self) -> None:
         refusal = StoreUnavailableError("refused", remedy="")
         with pytest.raises(StoreUnavailableError):
             await version_written(
@@ -114,7 +114,7 @@
             times.observe(0.3)
         assert times.answer_timeout_s > 0.3
 
-    def test_doubles_while_no_answer_comes(self) -> None:
+    def test_doubles_while_no_answer_arrives(self) -> None:
         times = ResponseTimes()
         times.back_off()
         assert times.answer_timeout_s == 2 * MIN_ANSWER_TIMEOUT_S
--- a/src/streamthread/cell/tests/test_commits.py
+++ b/src/streamthread/cell/tests/test_commits.py
@@ -22,7 +22,7 @@
 ROW_BYTES = 65536
 """The maximum size of a row in the store."""
 
-SMALLEST_LINK_BYTES_PER_S = 5_000_000 / 8
+SLOWEST_LINK_BYTES_PER_S = 5_000_000 / 8
 
 
 def _log(tried_s: float | None, failed: bool) -> CommitLog:
@@ -64,7 +64,7 @@
         batch = log._next_batch()
         values = [row.value for row in batch.rows if row.value is not None]
         sent_bytes = sum(len(base64.b64encode(value)) for value in values)
-        assert sent_bytes / SMALLEST_LINK_BYTES_PER_S < TIMES.doubt_s
+        assert sent_bytes / SLOWEST_LINK_BYTES_PER_S < TIMES.doubt_s
 
 
 class _Store:
--- a/src/streamthread/cell/tests/test_lease.py
+++ b/src/streamthread/cell/tests/test_lease.py
@@ -199,7 +199,7 @@
         assert acquired is not None
         assert acquired.last_hold_at_s == acquired.acquired_at_s
 
-    async def test_is_unlimited_if_no_other_daemon_held_the_cell(self) -> None:
+    async def test_is_always_past_if_no_other_daemon_held_the_cell(self) -> None:
         lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.OWN_EARLIER_INCARNATION)
         assert acquired is not None
--- a/src/streamthread/cell/tests/test_members.py
+++ b/src/streamthread/cell/tests/test_members.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of its peers."""
+"""Tests what a daemon knows of its peers, and its announcements to them."""
 
 import asyncio
 import typing as t
@@ -19,7 +19,7 @@
         "me",
         t.cast(t.Any, _Peers()),
         cores,
-        lambda news: None,
+        lambda update: None,
     )
     for daemon_id, peer_cores in peers.items():
         members.on_announcement(pb.Announcement(daemon_id=daemon_id, cores=peer_cores))
@@ -27,17 +27,17 @@
 
 
 class TestLargerPeers:
-    def test_are_those_with_clearly_more_processor(self) -> None:
+    def test_are_those_with_clearly_more_cores(self) -> None:
         assert _members(0.5, {"a": 0.5, "b": 2.1}).has_larger_peer(excluding="")
         assert not _members(1.0, {"a": 1.1, "b": 0.5}).has_larger_peer(excluding="")
 
-    def test_do_not_count_when_gone(self) -> None:
+    def test_do_not_include_an_excluded_peer(self) -> None:
         assert not _members(0.5, {"a": 0.5, "b": 2.1}).has_larger_peer(excluding="b")
 
-    def test_are_none_while_nobody_has_said(self) -> None:
+    def test_are_none_while_no_peer_has_stated_its_cores(self) -> None:
         assert not _members(0.5, {"a": 0.0}).has_larger_peer(excluding="")
 
-    def test_are_told_of_in_announcements(self) -> None:
+    def test_are_found_by_the_cores_in_announcements(self) -> None:
         assert _members(0.5, {}).announcement(pb.OwnerNews()).cores == 0.5
 
 
@@ -48,8 +48,8 @@
         assert members.largest([]) == ""
 
 
-class TestTelling:
-    async def test_goes_to_so_many_peers_at_once(self) -> None:
+class TestConcurrency:
+    async def test_of_announcements_is_limited(self) -> None:
         peers = _SlowPeers()
         members = Members(
             t.cast(t.Any, None),
@@ -57,31 +57,31 @@
             "me",
             t.cast(t.Any, peers),
             1.0,
-            lambda news: None,
+            lambda update: None,
         )
         members.addresses = {f"d-{n}": f"127.0.0.1:{n}" for n in range(300)}
         members.announce_soon(pb.OwnerNews())
-        while len(peers.told) < 300:
+        while len(peers.notified) < 300:
             await asyncio.sleep(0)
-        assert peers.most == MAX_CONCURRENT_ANNOUNCEMENTS
-        assert len(set(peers.told)) == 300
+        assert peers.max_concurrent == MAX_CONCURRENT_ANNOUNCEMENTS
+        assert len(set(peers.notified)) == 300
 
 
 class _SlowPeers:
-    """Answers after some turns of the loop; counts who is told side by side."""
+    """Answers after some iterations of the loop; counts concurrent announcements."""
 
     address = "127.0.0.1:1"
 
     def __init__(self) -> None:
-        self.told: list[str] = []
-        self.most = 0
-        self._now = 0
+        self.notified: list[str] = []
+        self.max_concurrent = 0
+        self._concurrent = 0
 
-    async def announce(self, address: str, news: pb.Announcement) -> pb.Announcement:
-        self._now += 1
-        self.most = max(self.most, self._now)
+    async def announce(self, address: str, update: pb.Announcement) -> pb.Announcement:
+        self._concurrent += 1
+        self.max_concurrent = max(self.max_concurrent, self._concurrent)
         for _ in range(5):
             await asyncio.sleep(0)
-        self._now -= 1
-        self.told.append(address)
+        self._concurrent -= 1
+        self.notified.append(address)
         return pb.Announcement()
--- a/src/streamthread/cell/tests/test_peer.py
+++ b/src/streamthread/cell/tests/test_peer.py
@@ -1,4 +1,4 @@
-"""Whom a holder counts as its followers."""
+"""Tests the followers of a holder, and the connections between daemons."""
 
 import asyncio
 import typing as t
@@ -12,43 +12,43 @@
 from streamthread.channels import PeerChannel
 from streamthread.errors import PeerUnavailableError
 
-BEAT_S = 0.01
+HEARTBEAT_S = 0.01
 
 
 class _Stream:
-    """A follower's stream, which breaks when a test says so."""
+    """A follower's stream, which a test can break."""
 
     def __init__(self) -> None:
-        self.beats = 0
+        self.heartbeats = 0
         self.broken = False
 
     async def recv_message(self) -> pb.FollowRequest:
         return pb.FollowRequest(daemon_id="daemon-1", address="peer:1")
 
-    async def send_message(self, beat: pb.Beat) -> None:
+    async def send_message(self, heartbeat: pb.Beat) -> None:
         if self.broken:
             raise ConnectionResetError
-        self.beats += 1
+        self.heartbeats += 1
 
 
 def _endpoint() -> CellEndpoint:
     unused = t.cast(t.Any, None)
-    return CellEndpoint(unused, lambda: pb.Beat(token=1), BEAT_S, unused, unused)
+    return CellEndpoint(unused, lambda: pb.Beat(token=1), HEARTBEAT_S, unused, unused)
 
 
-async def _until_heard(stream: _Stream) -> None:
-    while not stream.beats:
-        await asyncio.sleep(BEAT_S)
+async def _until_heartbeat(stream: _Stream) -> None:
+    while not stream.heartbeats:
+        await asyncio.sleep(HEARTBEAT_S)
 
 
 class TestFollowers:
-    async def test_that_came_back_stay_when_their_old_stream_ends(self) -> None:
+    async def test_that_reconnected_stay_when_their_old_stream_ends(self) -> None:
         endpoint = _endpoint()
         old, new = _Stream(), _Stream()
         following_old = asyncio.ensure_future(endpoint.Follow(old))
-        await _until_heard(old)
+        await _until_heartbeat(old)
         following_new = asyncio.ensure_future(endpoint.Follow(new))
-        await _until_heard(new)
+        await _until_heartbeat(new)
         old.broken = True
         with pytest.raises(ConnectionResetError):
             await following_old
@@ -60,7 +60,7 @@
 
 
 class _LosingChannel(PeerChannel):
-    """Loses each connection between being made and being used."""
+    """Loses each connection after it is established and before it is used."""
 
     async def _create_connection(self) -> t.Any:
         protocol = await super()._create_connection()
@@ -69,10 +69,10 @@
 
 
 @pytest.fixture
-async def links_that_lose(
+async def losing_links(
     monkeypatch: pytest.MonkeyPatch,
 ) -> t.AsyncIterator[tuple[PeerLinks, str]]:
-    """Return links, and the address of a peer to which they lose each connection."""
+    """Yield links, and the address of a peer to which they lose each connection."""
     port = CellPort(_endpoint(), "127.0.0.1", 0)
     address = await port.open()
     monkeypatch.setattr("streamthread.cell.peer.PeerChannel", _LosingChannel)
@@ -83,25 +83,25 @@
 
 
 class TestLostConnection:
-    """It is lost after it was made and before it is used."""
+    """A connection is lost after it was established and before it is used."""
 
-    async def test_to_the_holder_is_made_anew(
-        self, links_that_lose: tuple[PeerLinks, str]
+    async def test_to_the_holder_is_reestablished(
+        self, losing_links: tuple[PeerLinks, str]
     ) -> None:
-        links, address = links_that_lose
+        links, address = losing_links
         await links.follow(address, 1, 1.0, asyncio.Event())
         assert not await links.can_commit(address, 1)
 
     async def test_fails_a_call_as_unanswered(
-        self, links_that_lose: tuple[PeerLinks, str]
+        self, losing_links: tuple[PeerLinks, str]
     ) -> None:
-        links, address = links_that_lose
+        links, address = losing_links
         with pytest.raises(PeerUnavailableError):
             await links.call(address, pb.CallRequest(), 1.0)
 
 
 class TestAnnouncements:
-    """With 300 daemons each tells each: what stays open is paid 300 times by each."""
+    """Each of 300 daemons announces to all others, so open channels would add up."""
 
     async def test_keep_no_channel(self) -> None:
         endpoint = _announced_endpoint()
@@ -138,5 +138,9 @@
 
     unused = t.cast(t.Any, None)
     return CellEndpoint(
-        call, unused, BEAT_S, lambda _: pb.Announcement(daemon_id="daemon-2"), unused
+        call,
+        unused,
+        HEARTBEAT_S,
+        lambda _: pb.Announcement(daemon_id="daemon-2"),
+        unused,
     )
