--- a/src/streamthread/cell/acquisition.py
+++ b/src/streamthread/cell/acquisition.py
@@ -105,8 +105,10 @@
             return False
         if self._registry.owner is not owner:
             return False
-        doubtful = suspicion is Suspicion.CANNOT_COMMIT
-        return not doubtful or not self._is_slow_for_all(asked_at_s, suspected_at_s)
+        cannot_commit = suspicion is Suspicion.CANNOT_COMMIT
+        return not cannot_commit or not self._is_slow_for_all(
+            asked_at_s, suspected_at_s
+        )
 
     def _is_slow_for_all(self, asked_at_s: float, suspected_at_s: float) -> bool:
         """Whether the store is slow for this daemon too, so a change would not help.
--- a/src/streamthread/cell/takeover.py
+++ b/src/streamthread/cell/takeover.py
@@ -11,7 +11,7 @@
 
 
 class Suspicion(enum.Enum):
-    """Why the current holder may be replaced."""
+    """Why the current holder may be replaced; the values appear in log events."""
 
     NONE = "none"
     VACANT = "vacant"
--- a/src/streamthread/cell/tests/test_lease.py
+++ b/src/streamthread/cell/tests/test_lease.py
@@ -66,12 +66,12 @@
 
     address = "127.0.0.1:2"
 
-    def __init__(self, healthy: bool, meanwhile: t.Callable[[], None]) -> None:
+    def __init__(self, healthy: bool, during_call: t.Callable[[], None]) -> None:
         self.healthy = healthy
-        self.meanwhile = meanwhile
+        self.during_call = during_call
 
     async def can_commit(self, address: str, token: int) -> bool:
-        self.meanwhile()
+        self.during_call()
         return self.healthy
 
 
@@ -99,21 +99,21 @@
 class TestAcquisition:
     async def test_from_a_holder_that_cannot_commit_succeeds(self) -> None:
         store = _Store()
-        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, during_call=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.CANNOT_COMMIT)
         assert acquired is not None
         assert acquired.owner.token == 2
 
     async def test_is_abandoned_when_the_holder_commits_again(self) -> None:
         store = _Store()
-        lease = _lease(store, _Peers(healthy=True, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=True, during_call=lambda: None))
         assert await lease._writer.acquire(Suspicion.CANNOT_COMMIT) is None
         assert store.rows[TABLE_OWNER, OWNER_KEY].value == OLD.encode()
 
     async def test_is_postponed_while_the_store_is_slow_for_all(self) -> None:
         store = _Store()
         store.read_s = 0.05
-        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, during_call=lambda: None))
         now_s = boot_s()
         writer = lease._writer
         assert await writer.acquire(Suspicion.CANNOT_COMMIT, None, now_s) is None
@@ -125,7 +125,7 @@
     async def test_from_a_holder_that_exited_is_not_postponed(self) -> None:
         store = _Store()
         store.read_s = 0.05
-        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, during_call=lambda: None))
         now_s = boot_s()
         acquired = await lease._writer.acquire(Suspicion.PROCESS_GONE, None, now_s)
         assert acquired is not None
@@ -134,11 +134,11 @@
         store = _Store()
         faster = Owner("faster", "n-2", "127.0.0.1:3", 2)
 
-        def meanwhile() -> None:
+        def during_call() -> None:
             store.put(TABLE_OWNER, OWNER_KEY, faster.encode())
             lease.registry.adopt(store.rows[TABLE_OWNER, OWNER_KEY])
 
-        lease = _lease(store, _Peers(healthy=False, meanwhile=meanwhile))
+        lease = _lease(store, _Peers(healthy=False, during_call=during_call))
         assert await lease._writer.acquire(Suspicion.CANNOT_COMMIT) is None
         assert store.rows[TABLE_OWNER, OWNER_KEY].value == faster.encode()
         await asyncio.sleep(0)
@@ -150,7 +150,7 @@
 
     @staticmethod
     async def _acquire_after_failure(store: _Store, head_version: int) -> AcquiredCell:
-        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, during_call=lambda: None))
         stalled_commits = StalledCommits(head_version, exclusive_from_s=5.0)
         acquired = await lease._writer.acquire(Suspicion.CANNOT_COMMIT, stalled_commits)
         assert acquired is not None
@@ -172,21 +172,21 @@
 
     @pytest.mark.parametrize("why", [Suspicion.PROCESS_GONE, Suspicion.SILENT])
     async def test_follows_the_lease_of_a_silent_holder(self, why: Suspicion) -> None:
-        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(_Store(), _Peers(healthy=False, during_call=lambda: None))
         began_at_s = boot_s()
         acquired = await lease._writer.acquire(why)
         assert acquired is not None
         assert acquired.exclusive_from_s >= began_at_s + lease.times.trust_s
 
     async def test_is_the_acquisition_if_the_holder_released_the_cell(self) -> None:
-        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(_Store(), _Peers(healthy=False, during_call=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.RELEASED)
         assert acquired is not None
         assert acquired.exclusive_from_s == acquired.acquired_at_s
 
     async def test_bounds_the_extensions_of_earlier_holders(self) -> None:
         """A holder whose port seems closed may send orders until its lease expires."""
-        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(_Store(), _Peers(healthy=False, during_call=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.PROCESS_GONE)
         assert acquired is not None
         assert acquired.last_hold_at_s >= acquired.acquired_at_s + lease.times.trust_s
@@ -194,20 +194,20 @@
     async def test_of_the_own_earlier_incarnation_bounds_holds_by_the_acquisition(
         self,
     ) -> None:
-        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(_Store(), _Peers(healthy=False, during_call=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.OWN_EARLIER_INCARNATION)
         assert acquired is not None
         assert acquired.last_hold_at_s == acquired.acquired_at_s
 
     async def test_is_always_past_if_no_other_daemon_held_the_cell(self) -> None:
-        lease = _lease(_Store(), _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(_Store(), _Peers(healthy=False, during_call=lambda: None))
         acquired = await lease._writer.acquire(Suspicion.OWN_EARLIER_INCARNATION)
         assert acquired is not None
         assert acquired.exclusive_from_s == -math.inf
 
     async def test_is_measured_from_the_stall_of_a_silent_holder(self) -> None:
         store = _Store()
-        lease = _lease(store, _Peers(healthy=False, meanwhile=lambda: None))
+        lease = _lease(store, _Peers(healthy=False, during_call=lambda: None))
         began_at_s = boot_s()
         watch = lease._watch
         watch._times = attrs.evolve(lease.times, trust_s=0.2, silence_margin_s=0.1)
--- a/src/streamthread/runners/clock.py
+++ b/src/streamthread/runners/clock.py
@@ -34,9 +34,9 @@
         assert self._clock_ms is not None
         return self._clock_ms + int((now_s - self._synced_at_s) * 1000)
 
-    def deadline_ms(self, now_s: float, for_s: float) -> int:
-        """Return a deadline ``for_s`` ahead and record it if it is the latest."""
-        deadline_ms = self.now_ms(now_s) + int(for_s * 1000)
+    def deadline_ms(self, now_s: float, duration_s: float) -> int:
+        """Return a deadline ``duration_s`` ahead and record it if it is the latest."""
+        deadline_ms = self.now_ms(now_s) + int(duration_s * 1000)
         self.latest_deadline_ms = max(self.latest_deadline_ms, deadline_ms)
         return deadline_ms
 
--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -118,6 +118,7 @@
 class RunnerLink:
     """Sends hold calls to one incarnation of a runner until it exits.
 
+    :param over: whether this incarnation has exited.
     :param held_since_s: when this link was created, on the boot clock.
     :param heard_at_s: when the runner last answered a call, on the boot clock; 0 if it
         has not answered yet.
--- a/src/streamthread/runners/tests/test_restarts.py
+++ b/src/streamthread/runners/tests/test_restarts.py
@@ -82,7 +82,7 @@
     return NoAnswerError("no answer", remedy="it is tried again")
 
 
-async def _play(
+async def _run_script(
     answers: t.Sequence[Answer],
     born_ms: int | None = BORN_MS,
     earlier_born_ms: t.Iterable[int] = (),
@@ -106,26 +106,28 @@
         self,
     ) -> None:
         first, second = _lists(CLOCK_MS), _lists(7, 1, born_ms=BORN_MS + 1)
-        owner, _ = await _play([first, second])
+        owner, _ = await _run_script([first, second])
         assert owner.restarted_ms == [BORN_MS + 1]
         assert owner.lists == [first]
 
     async def test_is_recognized_without_a_previous_silence(self) -> None:
-        owner, _ = await _play([_lists(7, born_ms=BORN_MS + 1)])
+        owner, _ = await _run_script([_lists(7, born_ms=BORN_MS + 1)])
         assert owner.restarted_ms == [BORN_MS + 1]
 
     async def test_is_not_assumed_for_the_first_known_start_time(self) -> None:
-        owner, _ = await _play([_lists(CLOCK_MS), _lists(CLOCK_MS + 1)], born_ms=None)
+        owner, _ = await _run_script(
+            [_lists(CLOCK_MS), _lists(CLOCK_MS + 1)], born_ms=None
+        )
         assert len(owner.lists) == 2
 
     async def test_is_not_assumed_if_the_runner_reports_no_start_time(self) -> None:
         replies = [_lists(CLOCK_MS + n, born_ms=None) for n in range(3)]
-        owner, _ = await _play(replies, born_ms=None)
+        owner, _ = await _run_script(replies, born_ms=None)
         assert owner.lists == replies
 
     async def test_is_not_one_that_has_already_exited(self) -> None:
         """Contradictory start times from two writers do not end links repeatedly."""
-        owner, _ = await _play(
+        owner, _ = await _run_script(
             [_lists(CLOCK_MS), _lists(CLOCK_MS + 1)], BORN_MS + 1, [BORN_MS]
         )
         assert len(owner.lists) == 2
@@ -140,19 +142,19 @@
     """
 
     async def test_name_no_end_after_a_silence(self) -> None:
-        _, client = await _play(
+        _, client = await _run_script(
             [_lists(CLOCK_MS, 57), _no_answer(), _lists(CLOCK_MS + 9)]
         )
         assert client.confirmed[:3] == [0, 57, 0]
 
     async def test_are_sent_until_one_is_answered(self) -> None:
         """The next incarnation may replace one that was never silent."""
-        _, client = await _play(
+        _, client = await _run_script(
             [_lists(CLOCK_MS, 57), _lists(CLOCK_MS + 1), _lists(CLOCK_MS + 2)]
         )
         assert client.confirmed[:3] == [0, 57, 0]
 
     async def test_include_ends_that_are_listed_again(self) -> None:
         answers = [_lists(CLOCK_MS, 57), _no_answer(), _lists(CLOCK_MS + 1, 57, 58)]
-        _, client = await _play([*answers, _lists(CLOCK_MS + 2)])
+        _, client = await _run_script([*answers, _lists(CLOCK_MS + 2)])
         assert client.confirmed[:4] == [0, 57, 0, 58]
