--- a/src/streamthread/cell/__init__.py
+++ b/src/streamthread/cell/__init__.py
@@ -1,4 +1,7 @@
-"""A cell: pools that share machines, run by one daemon at a time, the holder."""
+"""A cell: pools that share machines, run by one daemon at a time, the holder.
+
+This package contains the holder's lease, its commits and the calls between daemons.
+"""
 
 from .commits import CommitLog
 from .lease import CellLease
@@ -8,18 +11,18 @@
 from .rows import TABLE_INBOX
 from .rows import TABLE_JOBS
 from .rows import TABLE_RUNS
-from .takeover import TakenCell
+from .takeover import AcquiredCell
 from .times import LeaseTimes
 
 __all__ = [
     "TABLE_INBOX",
     "TABLE_JOBS",
     "TABLE_RUNS",
+    "AcquiredCell",
     "CellEndpoint",
     "CellLease",
     "CellPort",
     "CommitLog",
     "LeaseTimes",
     "PeerLinks",
-    "TakenCell",
 ]
--- /dev/null
+++ b/src/streamthread/cell/acquisition_delay.py
@@ -0,0 +1,62 @@
+"""The delay after which a daemon acquires a cell, which favors better candidates."""
+
+import random
+
+from .members import Members
+from .rows import Owner
+from .takeover import Suspicion
+from .times import LeaseTimes
+
+__all__ = ["AcquisitionDelay"]
+
+REFERENCE_CORES = 1.0
+"""The number of CPU cores with which a daemon uses the normal delay."""
+
+MAX_DELAY_FACTOR = 4.0
+"""Maximum multiple of the normal delay; the smallest machines have half a core."""
+
+
+class AcquisitionDelay:
+    """Spreads the candidates so that one write wins and large machines go first.
+
+    :param cores: the CPU cores of this daemon.
+    :param rng: a separate random source for each incarnation of a daemon.
+    """
+
+    def __init__(
+        self,
+        members: Members,
+        daemon_id: str,
+        times: LeaseTimes,
+        cores: float,
+        rng: random.Random,
+    ) -> None:
+        self._members = members
+        self._daemon_id = daemon_id
+        self._times = times
+        self._size_factor = min(MAX_DELAY_FACTOR, REFERENCE_CORES / cores)
+        self._rng = rng
+
+    def before_acquisition_s(self, suspicion: Suspicion, owner: Owner | None) -> float:
+        """Return how long to wait before writing an acquisition.
+
+        :param owner: the holder to replace, if there was one.
+        """
+        if suspicion is Suspicion.OWN_EARLIER_INCARNATION:
+            return 0.0
+        if suspicion is Suspicion.RELEASED:
+            assert owner is not None
+            if owner.successor == self._daemon_id:
+                return 0.0
+            return self._stagger_s(owner) + 2 * self._times.stagger_s
+        if suspicion is Suspicion.CANNOT_COMMIT:
+            return max(self._stagger_s(owner), self._times.sure_again_s)
+        return self._stagger_s(owner)
+
+    def _stagger_s(self, owner: Owner | None) -> float:
+        """Return a random delay, which is longer on small machines."""
+        share = self._size_factor * (1 + self._rng.random()) / 2
+        stagger_s = self._times.stagger_s * share
+        if self._members.has_larger_peer(excluding=owner.daemon_id if owner else ""):
+            stagger_s += self._times.defer_s
+        return stagger_s
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -1,4 +1,4 @@
-"""Who holds the cell: following its holder, taking it over, giving it up."""
+"""The lease on a cell: follows its holder, acquires the cell and releases it."""
 
 import asyncio
 import functools
@@ -13,14 +13,14 @@
 from ..platform.store import RowStore
 from ..unreadable import UnreadableNotes
 from . import cell_pb2 as pb
-from .book import OwnerBook
-from .hesitation import Hesitation
+from .acquisition import OwnerWriter
+from .acquisition_delay import AcquisitionDelay
 from .members import Members
+from .owner_registry import OwnerRegistry
 from .peer import PeerLinks
 from .rows import Owner
+from .takeover import AcquiredCell
 from .takeover import Suspicion
-from .takeover import TakenCell
-from .taking import OwnerWriter
 from .times import LeaseTimes
 from .watch import HolderWatch
 
@@ -29,17 +29,18 @@
 log = logbook.Logger("streamthread.cell")
 
 RECHECK_S = 0.05
-"""Pause before a holder that nothing speaks against is followed anew."""
+"""Pause before a holder without suspicion is followed again."""
 
 
 class CellLease(Service):
-    """Follows the cell's holder, and takes over when it is gone.
-
-    :param cores: how much processor this daemon has; the holder uses most of all.
-    :param on_taken: called with what was taken; returns when the cell is lost.
-    :param on_replaced: called while holding, when another holder is known.
-    :param notes: is told of rows of the cell that can't be read.
-    :param failures: is told of what failed and nobody foresaw.
+    """Follows the cell's holder, and acquires the cell when the holder has failed.
+
+    :param cores: the CPU cores of this daemon; the holder uses more CPU than followers.
+    :param on_acquired: called with the acquired cell; returns when the cell is lost.
+    :param on_replaced: called when another holder is known while this daemon holds the
+        cell.
+    :param notes: collects the rows of the cell that cannot be decoded.
+    :param failures: collects unexpected failures.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         peers: PeerLinks,
         times: LeaseTimes,
         cores: float,
-        on_taken: t.Callable[[TakenCell], t.Awaitable[None]],
+        on_acquired: t.Callable[[AcquiredCell], t.Awaitable[None]],
         on_replaced: t.Callable[[], None],
         notes: UnreadableNotes | None = None,
         failures: Failures | None = None,
@@ -64,24 +65,24 @@
         self.address = address
         self._peers = peers
         self.times = times
-        self._on_taken = on_taken
+        self._on_acquired = on_acquired
         self._on_replaced = on_replaced
-        self.book = OwnerBook(store, part, self._on_owner, notes)
+        self.registry = OwnerRegistry(store, part, self._on_owner, notes)
         self.members = Members(
-            store, part, daemon_id, peers, cores, self.book.hear, notes
+            store, part, daemon_id, peers, cores, self.registry.on_peer_report, notes
         )
-        hesitation = Hesitation(
+        delay = AcquisitionDelay(
             self.members, daemon_id, times, cores, random.Random(incarnation)
         )
-        self._watch = HolderWatch(store, part, daemon_id, self.book, peers, times)
+        self._watch = HolderWatch(store, part, daemon_id, self.registry, peers, times)
         self._writer = OwnerWriter(
             store,
             part,
-            self.book,
+            self.registry,
             peers,
             times,
-            hesitation.before_taking_s,
-            self._name_self,
+            delay.before_acquisition_s,
+            self._as_owner,
             lambda: self.stopping,
         )
         self.holding = False
@@ -90,10 +91,10 @@
 
     @property
     def owner(self) -> Owner | None:
-        """The newest owner that is known."""
-        return self.book.owner
+        """The newest known owner."""
+        return self.registry.owner
 
-    def _name_self(self, token: int) -> Owner:
+    def _as_owner(self, token: int) -> Owner:
         return Owner(self._daemon_id, self._incarnation, self.address, token)
 
     def _on_owner(self, owner: Owner) -> None:
@@ -102,12 +103,12 @@
             self._on_replaced()
 
     def news(self) -> pb.OwnerNews:
-        """Return what a peer should know of the holder."""
-        return self.book.news()
+        """Return the update on the holder that is sent to peers."""
+        return self.registry.owner_update()
 
-    def hears_holder(self) -> bool:
-        """Whether a holder that can commit has been heard just now."""
-        return self._peers.heard_within(self.times.beat_lost_s)
+    def is_holder_alive(self) -> bool:
+        """Whether a recent heartbeat came from a holder that can commit."""
+        return self._peers.received_within(self.times.beat_lost_s)
 
     @Service.task
     async def _run_members(self) -> None:
@@ -115,8 +116,8 @@
         await self.wait(self._keeper.keep("members", join))
 
     @Service.task
-    async def _run_book(self) -> None:
-        watch = functools.partial(self.book.watch, self.times.feed_wait_s)
+    async def _run_registry(self) -> None:
+        watch = functools.partial(self.registry.watch, self.times.feed_wait_s)
         await self.wait(self._keeper.keep("owner", watch))
 
     @Service.task
@@ -124,39 +125,39 @@
         await self.wait(self._keeper.keep("follow", self._follow))
 
     async def _follow(self) -> None:
-        """Follow whoever holds the cell; take over when it may be replaced."""
-        await self.book.known.wait()
+        """Follow the cell's holder; acquire the cell when it may be replaced."""
+        await self.registry.known.wait()
         while True:
-            self.book.changed.clear()
+            self.registry.changed.clear()
             suspicion = await self._watch.observe()
             if suspicion is Suspicion.NONE or self.stopping:
                 await asyncio.sleep(RECHECK_S)
                 continue
-            taken = await self._writer.take(
-                suspicion, self._watch.standstill, self._watch.suspected_at_s
+            acquired = await self._writer.acquire(
+                suspicion, self._watch.stalled_commits, self._watch.suspected_at_s
             )
-            if taken is not None:
-                await self._hold(taken)
-            elif self.owner is not None and suspicion is Suspicion.DOUBTFUL:
-                # Most likely the store is down for all of us.
+            if acquired is not None:
+                await self._hold(acquired)
+            elif self.owner is not None and suspicion is Suspicion.CANNOT_COMMIT:
+                # Most likely the store is unavailable to all daemons.
                 await asyncio.sleep(self.times.retry_s)
 
-    async def _hold(self, taken: TakenCell) -> None:
+    async def _hold(self, acquired: AcquiredCell) -> None:
         self.takeovers += 1
         self.holding = True
         self.members.announce_soon(self.news())
         try:
-            await self._on_taken(taken)
+            await self._on_acquired(acquired)
         finally:
             self.holding = False
-            log.warning("cell-lost", extra={"token": taken.owner.token})
+            log.warning("cell-lost", extra={"token": acquired.owner.token})
 
-    async def release(self, taken: TakenCell, successor: str) -> bool:
-        """Give the cell up in order, naming who should take over.
+    async def release(self, acquired: AcquiredCell, successor: str) -> bool:
+        """Release the cell and name the daemon that should acquire it next.
 
-        :return: whether the store has taken it.
+        :return: whether the store accepted the release.
         """
-        released = await self._writer.release(taken, successor)
+        released = await self._writer.release(acquired, successor)
         if released:
             self.members.announce_soon(self.news())
         return released
--- a/src/streamthread/cell/members.py
+++ b/src/streamthread/cell/members.py
@@ -1,4 +1,4 @@
-"""The other daemons of the cell: where they listen, and telling them news."""
+"""The other daemons of the cell: their addresses, and announcements to them."""
 
 import asyncio
 import typing as t
@@ -24,27 +24,29 @@
 log = logbook.Logger("streamthread.cell")
 
 RETRY_S = 0.25
-"""Pause before the store, or a peer that did not answer, is tried again."""
+"""Pause before another try at the store or at a peer that did not answer."""
 
-LARGER_TIMES = 1.2
-"""A peer counts as larger with this many times our processor."""
+LARGER_FACTOR = 1.2
+"""A peer counts as larger if it has more than this multiple of our CPU cores."""
 
-MOST_TOLD_AT_ONCE = 32
-"""Peers that are told side by side: with 300 of them, channels to all take 9 MB at the
-one that tells. Told in turns of 10 ms, the last one hears 0.1 s later."""
+MAX_CONCURRENT_ANNOUNCEMENTS = 32
+"""Maximum number of concurrent announcements. With 300 peers, channels to all of them
+would take 9 MB at the sender. At 10 ms per round, the last peer is notified 0.1 s
+later."""
 
 ANNOUNCE_TRIES = 12
-"""A peer behind a cut is told again for some 12 s: as long as cuts last."""
+"""Maximum tries of an announcement. A peer behind a network partition is retried for
+about 12 s, which is as long as partitions last."""
 
 
 class Members:
-    """Knows the peers from the store and from their own announcements.
+    """Tracks the peers through the store and through their announcements.
 
-    A daemon that the store turns away learns of a new holder from its peers.
+    A daemon that the store rejects learns of a new holder from its peers.
 
-    :param cores: how much processor this daemon has.
-    :param hear: takes what a peer says of the holder.
-    :param notes: is told of members whose rows can't be read.
+    :param cores: the CPU cores of this daemon.
+    :param on_owner_update: called with a peer's update on the holder.
+    :param notes: collects the members whose rows cannot be decoded.
     """
 
     def __init__(
@@ -54,29 +56,29 @@
         daemon_id: str,
         peers: PeerLinks,
         cores: float,
-        hear: t.Callable[[pb.OwnerNews], None],
+        on_owner_update: t.Callable[[pb.OwnerNews], None],
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
         self._store = store
         self._part = part
-        self._me = daemon_id
+        self._daemon_id = daemon_id
         self._peers = peers
         self._cores = cores
-        self._hear = hear
+        self._on_owner_update = on_owner_update
         self._tasks: set[asyncio.Task[None]] = set()
-        self._telling = asyncio.Semaphore(MOST_TOLD_AT_ONCE)
+        self._announce_slots = asyncio.Semaphore(MAX_CONCURRENT_ANNOUNCEMENTS)
         self.addresses: dict[str, str] = {}
         self._peers_cores: dict[str, float] = {}
 
-    async def join(self, news: t.Callable[[], pb.OwnerNews]) -> None:
-        """Write our row, read the others' and greet them."""
+    async def join(self, get_update: t.Callable[[], pb.OwnerNews]) -> None:
+        """Write our row, read the rows of the other members and announce ourselves."""
         row = StoredRow(
-            TABLE_MEMBERS, self._part, self._me, self._peers.address.encode()
+            TABLE_MEMBERS, self._part, self._daemon_id, self._peers.address.encode()
         )
         while not await self._join_once(row):
             await asyncio.sleep(RETRY_S)
-        self.announce_soon(news())
+        self.announce_soon(get_update())
 
     async def _join_once(self, row: StoredRow) -> bool:
         try:
@@ -86,11 +88,11 @@
             log.warning("members-unreadable", extra={"error": str(error)})
             return False
         for other in page.rows:
-            if other.key != self._me and other.value is not None:
-                self._learn(other.key, other.value)
+            if other.key != self._daemon_id and other.value is not None:
+                self._add_member(other.key, other.value)
         return True
 
-    def _learn(self, daemon_id: str, value: bytes) -> None:
+    def _add_member(self, daemon_id: str, value: bytes) -> None:
         try:
             address = decode_address(daemon_id, value)
         except UnreadableError as error:
@@ -98,36 +100,36 @@
             return
         self.addresses.setdefault(daemon_id, address)
 
-    def greeted(self, announcement: pb.Announcement) -> None:
-        """Take a peer's announcement."""
-        if announcement.daemon_id and announcement.daemon_id != self._me:
+    def on_announcement(self, announcement: pb.Announcement) -> None:
+        """Process a peer's announcement."""
+        if announcement.daemon_id and announcement.daemon_id != self._daemon_id:
             if is_host_port(announcement.address):
                 self.addresses[announcement.daemon_id] = announcement.address
             self._peers_cores[announcement.daemon_id] = announcement.cores
-        self._hear(announcement.owner)
+        self._on_owner_update(announcement.owner)
 
     def announcement(self, owner: pb.OwnerNews) -> pb.Announcement:
-        """Return what this daemon tells its peers of itself and the holder."""
+        """Return the announcement of this daemon and the holder for the peers."""
         return pb.Announcement(
-            daemon_id=self._me,
+            daemon_id=self._daemon_id,
             address=self._peers.address,
             owner=owner,
             cores=self._cores,
         )
 
-    def has_larger(self, without: str) -> bool:
-        """Whether some peer has clearly more processor than this daemon.
+    def has_larger_peer(self, excluding: str) -> bool:
+        """Whether any peer has clearly more CPU cores than this daemon.
 
-        :param without: a peer that does not count, since it seems to be gone.
+        :param excluding: a peer to ignore because it seems to have exited.
         """
         return any(
-            cores > LARGER_TIMES * self._cores
+            cores > LARGER_FACTOR * self._cores
             for daemon_id, cores in self._peers_cores.items()
-            if daemon_id != without
+            if daemon_id != excluding
         )
 
     def largest(self, daemon_ids: t.Iterable[str]) -> str:
-        """Return the one with most processor; an empty text if there is none."""
+        """Return the daemon with the most CPU cores, or an empty string if none."""
         return max(
             sorted(daemon_ids),
             key=lambda daemon_id: self._peers_cores.get(daemon_id, 0.0),
@@ -135,27 +137,27 @@
         )
 
     def announce_soon(self, owner: pb.OwnerNews) -> None:
-        """Tell all peers who holds the cell."""
-        news = self.announcement(owner)
+        """Notify all peers of the cell's holder, without waiting for their answers."""
+        update = self.announcement(owner)
         for daemon_id, address in list(self.addresses.items()):
-            task = asyncio.ensure_future(self._announce(daemon_id, address, news))
+            task = asyncio.ensure_future(self._announce(daemon_id, address, update))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def _announce(
-        self, daemon_id: str, address: str, news: pb.Announcement
+        self, daemon_id: str, address: str, update: pb.Announcement
     ) -> None:
         for _ in range(ANNOUNCE_TRIES):
             try:
-                async with self._telling:
-                    answer = await self._peers.announce(address, news)
-                self.greeted(answer)
+                async with self._announce_slots:
+                    answer = await self._peers.announce(address, update)
+                self.on_announcement(answer)
                 return
             except PeerUnavailableError:
                 await asyncio.sleep(RETRY_S)
         log.info("peer-not-told", extra={"peer": daemon_id, "address": address})
 
     def close(self) -> None:
-        """Stop telling."""
+        """Cancel all pending announcements."""
         for task in self._tasks:
             task.cancel()
--- a/src/streamthread/cell/book.py
+++ b/src/streamthread/cell/owner_registry.py
@@ -1,4 +1,4 @@
-"""What is known of the cell's owner, from the store and from peers."""
+"""The owner of the cell, as this daemon knows it from the store and from peers."""
 
 import asyncio
 import typing as t
@@ -22,7 +22,7 @@
 from .rows import OWNER_KEY
 from .rows import TABLE_OWNER
 
-__all__ = ["OwnerBook"]
+__all__ = ["OwnerRegistry"]
 
 log = logbook.Logger("streamthread.cell")
 
@@ -30,17 +30,19 @@
 """Pause after the owner row could not be read."""
 
 
-class OwnerBook:
-    """The newest owner that this daemon has heard of.
+class OwnerRegistry:
+    """The newest owner that this daemon knows.
 
-    :param changed: set when another owner is known.
-    :param known: set once the store has told of the owner, or that there is none.
-    :param version: of the owner row; behind where a peer told of the owner.
-    A row that can't be read changes nothing here, and is not replaced: whoever wrote it
-    may hold the cell, under a fencing token that we must not fall short of.
+    A row that cannot be decoded changes nothing here and is not replaced: the daemon
+    that wrote it may hold the cell, and our fencing token must not be lower than its
+    token.
 
+    :param changed: set when another owner is known.
+    :param known: set once the store has returned the owner, or that there is none.
+    :param version: the version of the owner row; it is outdated if the current owner
+        was reported by a peer.
     :param on_changed: called with each new owner.
-    :param notes: is told of a row that can't be read.
+    :param notes: collects rows that cannot be decoded.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         self.owner: Owner | None = None
 
     async def watch(self, feed_wait_s: float) -> None:
-        """Keep the owner row as the store last told it, until cancelled."""
+        """Follow the owner row in the store until cancelled."""
         feed = TableFeed(self._store, TABLE_OWNER, self._part, feed_wait_s)
         while True:
             try:
@@ -76,9 +78,9 @@
                 await asyncio.sleep(OWNER_RETRY_S)
 
     async def reread(self) -> bool:
-        """Read the owner row: what we know of it may be old, or from a peer.
+        """Read the owner row, since the known one may be outdated or from a peer.
 
-        :return: whether the store answered with a row that can be read, or none.
+        :return: whether the store answered, and the row can be decoded if there is one.
         """
         page = await read_or_none(self._store, TABLE_OWNER, self._part)
         if page is None:
@@ -87,10 +89,10 @@
             self.adopt(row)
         return not self._unreadable
 
-    async def look_for(self, owner: Owner) -> int | None:
-        """Return the version with which an owner stands in the row.
+    async def find_version(self, owner: Owner) -> int | None:
+        """Return the version of the owner row if it names this owner.
 
-        :return: 0 where another one stands there, None where it cannot be read.
+        :return: 0 if the row does not name this owner, None if it cannot be read now.
         """
         page = await read_or_none(self._store, TABLE_OWNER, self._part)
         if page is None:
@@ -103,7 +105,7 @@
         return 0
 
     def adopt(self, row: StoredRow) -> None:
-        """Take the owner row as it was read, unless a newer one is known."""
+        """Adopt the owner row as it was read, unless a newer one is known."""
         if row.version <= self.version or row.value is None:
             return
         owner = self._decode(row.value)
@@ -114,7 +116,7 @@
             self._set(owner, "store")
 
     def _decode(self, value: bytes) -> Owner | None:
-        """Return the owner that a row names, or None: it can't be read."""
+        """Return the owner that a row names, or None if it cannot be decoded."""
         try:
             owner = Owner.decode(value)
         except UnreadableError as error:
@@ -124,32 +126,32 @@
         self._unreadable = False
         return owner
 
-    def hear(self, news: pb.OwnerNews) -> None:
-        """Take from a peer who holds the cell, if we do not know better."""
+    def on_peer_report(self, update: pb.OwnerNews) -> None:
+        """Adopt the owner that a peer reports, unless a newer one is known."""
         known = self.owner
-        heard = Owner(
-            news.daemon_id,
-            news.incarnation,
-            news.address,
-            news.token,
-            news.released,
-            news.successor,
+        reported = Owner(
+            update.daemon_id,
+            update.incarnation,
+            update.address,
+            update.token,
+            update.released,
+            update.successor,
         )
-        rank = (heard.token, heard.released)
-        if not is_host_port(heard.address):
+        rank = (reported.token, reported.released)
+        if not is_host_port(reported.address):
             return
-        if not heard.token or (known and rank <= (known.token, known.released)):
+        if not reported.token or (known and rank <= (known.token, known.released)):
             return
-        self._set(heard, "peer")
+        self._set(reported, "peer")
 
-    def news(self) -> pb.OwnerNews:
-        """Return what a peer should know of the owner."""
+    def owner_update(self) -> pb.OwnerNews:
+        """Return the update on the owner that is sent to peers."""
         if self.owner is None:
             return pb.OwnerNews()
         return pb.OwnerNews(**attrs.asdict(self.owner))
 
-    def note_written(self, owner: Owner, version: int) -> None:
-        """Know what we wrote ourselves, before the feed tells of it."""
+    def on_written(self, owner: Owner, version: int) -> None:
+        """Record an owner that we wrote, before the feed returns it."""
         self.version = version
         self.owner = owner
         self.changed.set()
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -146,7 +146,7 @@
     Guard(
         "term-follows-slow-commits",
         "cell/times.py",
-        "        wanted_s = TERM_COMMITS * commit_s + self.renew_s\n",
+        "        wanted_s = TERM_COMMIT_FACTOR * commit_s + self.renew_s\n",
         "        wanted_s = 0.0\n",
         ("tests/cell/test_slow_store.py",),
     ),
@@ -169,7 +169,7 @@
         "cell/commits.py",
         "        if (table, key) in self._in_flight:\n            return False\n",
         "",
-        ("src/streamthread/cell/tests/test_commits.py::TestTakenBack",),
+        ("src/streamthread/cell/tests/test_commits.py::TestUnmark",),
     ),
     Guard(
         "overdue-hand-ins-are-refused",
@@ -253,7 +253,7 @@
         "runners/link.py",
         "        if self.runner.is_next_life(reply.born_ms):\n",
         "        if False:\n",
-        ("src/streamthread/runners/tests/test_restarts.py::TestNextLife",),
+        ("src/streamthread/runners/tests/test_restarts.py::TestNextIncarnation",),
     ),
     Guard(
         "entries-tell-lives-apart",
