--- a/src/streamthread/gateway/explain.py
+++ b/src/streamthread/gateway/explain.py
@@ -57,7 +57,7 @@
         return f"waits for steps {earlier}"
     job, request = step.occurrence.job, step.request
     accounts = holder.engine.accounts
-    if not accounts.room_for(job, request, 1):
+    if not accounts.count_fitting(job, request, 1):
         return _account_limit(holder, job.account)
     pool = job.service
     runners = [r for r in holder.engine.runners.values() if r.service == pool]
--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -41,10 +41,10 @@
             await asyncio.sleep(WATCH_RUNS_S)
             await self._owner.until_trusted()
             for link in self._owner.links.values():
-                if link.silent and self._engine.want_copies(link.runner.runner_id):
+                if link.silent and self._engine.request_copies(link.runner.runner_id):
                     self._owner.kick()
-            self._engine.watch_stops()
-            if self._engine.watch_progress():
+            self._engine.log_overdue_stops()
+            if self._engine.handle_lagging_runs():
                 self._owner.kick()
 
     async def hold_through_trouble(self) -> None:
--- a/src/streamthread/holder/listing.py
+++ b/src/streamthread/holder/listing.py
@@ -172,7 +172,7 @@
         if link is None:
             self._desk.add_runner(entry)
             return
-        if link.runner.is_next_life(entry.born_ms):
+        if link.runner.is_next_incarnation(entry.born_ms):
             self._desk.restart_runner(link, entry)
             return
         if entry.born_ms in link.runner.earlier_born_ms:
--- a/src/streamthread/holder/runner_desk.py
+++ b/src/streamthread/holder/runner_desk.py
@@ -86,7 +86,7 @@
 
         It gets nothing before its entry tells what it is: it may have less room.
         """
-        self._restart(link, link.runner.next_life(born_ms), listed=False)
+        self._restart(link, link.runner.next_incarnation(born_ms), listed=False)
 
     def _restart(self, link: RunnerLink, after: RunnerState, listed: bool) -> None:
         link.over = True
@@ -157,7 +157,7 @@
 
     def on_lapsed(self, link: RunnerLink) -> None:
         """Learn that all runs there have surely lapsed."""
-        self._engine.attempts_lapsed(link.runner.runner_id, "out of reach")
+        self._engine.attempts_expired(link.runner.runner_id, "out of reach")
         self._owner.kick()
 
     def on_fenced(self, link: RunnerLink) -> None:
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -349,7 +349,7 @@
             # The next life under its id is held already.
             return
         del self.links[link.runner.runner_id]
-        self.engine.runner_over(link.runner.runner_id, why)
+        self.engine.runner_exited(link.runner.runner_id, why)
         self.kick()
 
     def on_fenced(self, link: RunnerLink) -> None:
--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -190,7 +190,7 @@
         if isinstance(reply, Refusal):
             await self._on_refusal(reply)
             return
-        if self.runner.is_next_life(reply.born_ms):
+        if self.runner.is_next_incarnation(reply.born_ms):
             assert reply.born_ms is not None
             self._owner.on_restarted(self, reply.born_ms)
             return
@@ -219,7 +219,9 @@
                 extra={"runner": self.runner.runner_id, "error": str(error)},
             )
             return
-        if isinstance(reply, HoldReply) and not self.runner.is_next_life(reply.born_ms):
+        if isinstance(reply, HoldReply) and not self.runner.is_next_incarnation(
+            reply.born_ms
+        ):
             self.runner.on_clock(reply.clock_ms)
 
     async def _on_reply(self, reply: HoldReply) -> None:
--- a/src/streamthread/scheduler/accounts.py
+++ b/src/streamthread/scheduler/accounts.py
@@ -44,7 +44,7 @@
         self.gpu += request.gpu * runs
         self.tasks += runs
 
-    def room_for(self, request: StepRequest, limit: Limit, most: int) -> int:
+    def count_fitting(self, request: StepRequest, limit: Limit, most: int) -> int:
         """Return how many more runs of a step a limit allows, ``most`` at most."""
         count = most
         for used, each, whole in (
@@ -97,12 +97,12 @@
         """Return what an account may have running at once; None: it is not known."""
         return self._limit_of(account) if account else None
 
-    def room_for(self, job: Job, request: StepRequest, most: int) -> int:
+    def count_fitting(self, job: Job, request: StepRequest, most: int) -> int:
         """Return how many more runs of a job's step its account may have."""
         limit = self.limit_of(job.account)
         if limit is None:
             return most
-        return self.of(job.account).room_for(request, limit, most)
+        return self.of(job.account).count_fitting(request, limit, most)
 
 
 def over_limit(job: Job, limit: Limit | None) -> str:
--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -119,7 +119,7 @@
         """
         return task.lost_runners + sum(a.doubtful for a in task.attempts) < 2
 
-    def on_heard(self, runner: RunnerState) -> None:
+    def on_runner_response(self, runner: RunnerState) -> None:
         """Take it that a runner lives: it was cut off, and nothing crashed it."""
         for attempt in runner.attempts.values():
             attempt.doubtful = False
--- a/src/streamthread/scheduler/engine.py
+++ b/src/streamthread/scheduler/engine.py
@@ -121,7 +121,7 @@
             for attempt in job.attempts():
                 if attempt.runner_id != runner.runner_id:
                     continue
-                if attempt.is_of_other_life(runner.born_ms):
+                if attempt.is_of_other_incarnation(runner.born_ms):
                     given_up += self._crashes.settle_orphan(attempt)
                     self._stop_on_next_life(attempt, runner)
                 else:
@@ -135,7 +135,7 @@
         runner.add(attempt.task.name, attempt)
         self.stops.want_anew(attempt, "runner-restarted")
 
-    def runner_over(self, runner_id: str, why: str) -> None:
+    def runner_exited(self, runner_id: str, why: str) -> None:
         """A runner's life has surely ended: nothing runs there any more."""
         runner = self.runners.pop(runner_id, None)
         if runner is None:
@@ -183,7 +183,7 @@
         for attempt in left:
             self._stop_on_next_life(attempt, after)
 
-    def attempts_lapsed(self, runner_id: str, why: str) -> None:
+    def attempts_expired(self, runner_id: str, why: str) -> None:
         """All that ran on a runner has surely lapsed; the runner may live."""
         runner = self.runners.get(runner_id)
         if runner is None or not runner.attempts:
@@ -244,20 +244,20 @@
         """How many runs had been to be stopped for too long, at the last look."""
         return self.stops.overdue
 
-    def watch_stops(self) -> None:
+    def log_overdue_stops(self) -> None:
         """Tell of runs that go on though they have been to be stopped for long."""
         self.stops.tell_overdue()
 
     # Copies, and runs that lag behind.
 
-    def want_copies(self, runner_id: str) -> bool:
+    def request_copies(self, runner_id: str) -> bool:
         """Have copies run elsewhere of what a silent runner has, where steps allow.
 
         :return: whether some copy is wanted that was not before.
         """
-        return self._lags.want_copies(runner_id)
+        return self._lags.request_copies(runner_id)
 
-    def watch_progress(self) -> bool:
+    def handle_lagging_runs(self) -> bool:
         """Copy or move runs that lag behind; return whether any do."""
         return self._lags.watch()
 
@@ -351,7 +351,7 @@
     def _account_room(self, step: StepRun) -> int:
         """Return how many more tasks of a step its client account may have running."""
         job, request = step.occurrence.job, step.request
-        return self.accounts.room_for(job, request, len(step.tasks))
+        return self.accounts.count_fitting(job, request, len(step.tasks))
 
     def _candidates(
         self, steps: t.Iterable[StepRun], largest: LargestRoom, usable: int
--- a/src/streamthread/scheduler/fleet.py
+++ b/src/streamthread/scheduler/fleet.py
@@ -28,8 +28,8 @@
         answers.
     :param hung: it fell silent with its connections open: since when is not known.
     :param blamed: what its end was laid to when what ran there lapsed.
-    :param trial_job: whose tasks alone it may get until ``trial_until_s`` on the
-        boot clock; they may end their runners.
+    :param probation_job: whose tasks alone it may get until ``probation_until_s`` on
+        the boot clock; they may end their runners.
     :param stray_runs: runs there that no attempt of ours explains.
     :param born_ms: when this life began, in ms since 1970; None: not told.
     :param earlier_born_ms: when the lives before it under this id began.
@@ -58,8 +58,8 @@
     silent_at_s: float | None = None
     hung: bool = False
     blamed: list[Blame] = attrs.field(factory=list)
-    trial_job: Job | None = None
-    trial_until_s: float = 0.0
+    probation_job: Job | None = None
+    probation_until_s: float = 0.0
     stray_runs: int = 0
     failed_at_s: list[float] = attrs.field(factory=list)
     penalty_until_s: float = 0.0
@@ -90,7 +90,7 @@
         """What tells this life from others under its id."""
         return RunnerLife(self.runner_id, self.born_ms)
 
-    def next_life(self, born_ms: int) -> "RunnerState":
+    def next_incarnation(self, born_ms: int) -> "RunnerState":
         """Return the life after this one, as far as it is known before its entry."""
         return RunnerState(
             runner_id=self.runner_id,
@@ -105,7 +105,7 @@
             born_ms=born_ms,
         )
 
-    def is_next_life(self, born_ms: int | None) -> bool:
+    def is_next_incarnation(self, born_ms: int | None) -> bool:
         """Whether one that began then has taken the place of this life."""
         if born_ms is None or self.born_ms is None:
             return False
@@ -184,7 +184,7 @@
             and self.used_gpu + gpu <= self.gpu
         )
 
-    def room_for(self, cpu: int, memory_mb: int, gpu: int, most: int) -> int:
+    def count_fitting(self, cpu: int, memory_mb: int, gpu: int, most: int) -> int:
         """Return for how many tasks of one kind there is room, ``most`` at most."""
         count = max(0, most)
         if cpu:
--- a/src/streamthread/scheduler/lags.py
+++ b/src/streamthread/scheduler/lags.py
@@ -45,7 +45,7 @@
         self._times = times
         self._settings = settings
 
-    def want_copies(self, runner_id: str) -> bool:
+    def request_copies(self, runner_id: str) -> bool:
         """Have copies run elsewhere of what a silent runner has, where steps allow.
 
         :return: whether some copy is wanted that was not before.
--- a/src/streamthread/scheduler/model.py
+++ b/src/streamthread/scheduler/model.py
@@ -174,7 +174,7 @@
             return True
         return bool(self.seen_at_s) and not self.read_back and not self.open_starts
 
-    def is_of_other_life(self, born_ms: int | None) -> bool:
+    def is_of_other_incarnation(self, born_ms: int | None) -> bool:
         """Whether it was meant for another life of its runner than this one."""
         return None not in (born_ms, self.born_ms) and born_ms != self.born_ms
 
--- a/src/streamthread/scheduler/outcomes.py
+++ b/src/streamthread/scheduler/outcomes.py
@@ -92,7 +92,7 @@
 
     def on_hold(self, runner: RunnerState, reply: HoldReply) -> list[Stray]:
         """Take a runner's lists; return the runs that should not be there."""
-        self._crashes.on_heard(runner)
+        self._crashes.on_runner_response(runner)
         runner.on_clock(reply.clock_ms)
         for ended in reply.ended:
             self._on_ended(runner, ended)
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -241,7 +241,7 @@
             break
         if request.most_per_runner:
             left = min(left, request.most_per_runner - there[runner.runner_id])
-        count = runner.room_for(cpu, request.memory_mb, request.gpu, left)
+        count = runner.count_fitting(cpu, request.memory_mb, request.gpu, left)
         tasks = waiting[len(placed) : len(placed) + count]
         placed.extend(Placement(task, runner) for task in tasks)
     return placed
--- a/src/streamthread/scheduler/tests/test_accounts.py
+++ b/src/streamthread/scheduler/tests/test_accounts.py
@@ -116,7 +116,7 @@
         first.phase = Phase.SENT
         cell.engine.stop(first, "test")
         assert not cell.place()
-        cell.engine.attempts_lapsed(first.runner_id, "test")
+        cell.engine.attempts_expired(first.runner_id, "test")
         assert len(cell.place()) == 1
 
     def test_a_cancelled_job_counts_while_its_runs_are_there(self) -> None:
@@ -126,7 +126,7 @@
         cell.engine.cancel(job)
         cell.add("ann", body())
         assert not cell.place()
-        cell.engine.runner_over(first.runner_id, "test")
+        cell.engine.runner_exited(first.runner_id, "test")
         assert len(cell.place()) == 1
 
     def test_a_lower_one_stops_nothing_and_starts_nothing(self) -> None:
@@ -195,7 +195,7 @@
         elif what == "heir":
             self._take_over()
         elif what == "over":
-            self.engine.runner_over(f"i-{pick % 3}", "test")
+            self.engine.runner_exited(f"i-{pick % 3}", "test")
             self.engine.add_runner(runner(pick % 3))
         elif chosen is not None and what == "end":
             self.engine.refuse(chosen, "test")
--- a/src/streamthread/scheduler/tests/test_crashes.py
+++ b/src/streamthread/scheduler/tests/test_crashes.py
@@ -78,9 +78,9 @@
         runner.ready = False
         runner.silent_at_s = self.now_s
         runner.hung = hung
-        self.engine.want_copies(runner.runner_id)
+        self.engine.request_copies(runner.runner_id)
         self.now_s += 3.0
-        self.engine.runner_over(runner.runner_id, "test")
+        self.engine.runner_exited(runner.runner_id, "test")
         self.new_runner()
 
     def finish(self, runner: RunnerState) -> None:
@@ -204,7 +204,7 @@
         runner = cell.engine.runners[attempt.runner_id]
         runner.silent_at_s = cell.now_s
         runner.ready = False
-        cell.engine.attempts_lapsed(runner.runner_id, "test")
+        cell.engine.attempts_expired(runner.runner_id, "test")
         assert attempt.task.crashes == 1
         runner.silent_at_s = None
         cell.engine.on_hold(runner, HoldReply(0, (), ()))
@@ -339,7 +339,7 @@
         runner = cell.engine.runners[attempt.runner_id]
         cell.list_running(runner, clock_ms=101)
         runner.silent_at_s = cell.now_s
-        cell.engine.attempts_lapsed(runner.runner_id, "test")
+        cell.engine.attempts_expired(runner.runner_id, "test")
         assert attempt.task.later_ends == 1
         cell.engine.on_hold(runner, HoldReply(0, (), ()))
         assert attempt.task.lost_runners == 0
@@ -410,4 +410,4 @@
             task.on_trial = True
         cell.engine.add(gang)
         assert len(cell.place()) == 1
-        assert all(not r.trial_until_s for r in cell.engine.runners.values())
+        assert all(not r.probation_until_s for r in cell.engine.runners.values())
--- a/src/streamthread/scheduler/tests/test_engine.py
+++ b/src/streamthread/scheduler/tests/test_engine.py
@@ -98,7 +98,7 @@
     @rule(data=st.data())
     def lose_runner(self, data: t.Any) -> None:
         lost = data.draw(st.sampled_from(sorted(self.engine.runners)))
-        self.engine.runner_over(lost, "test")
+        self.engine.runner_exited(lost, "test")
         self.new_runner()
 
     @rule(data=st.data())
--- a/src/streamthread/scheduler/tests/test_progress.py
+++ b/src/streamthread/scheduler/tests/test_progress.py
@@ -117,7 +117,7 @@
     def test_stop_a_run_that_stands_still_and_run_it_elsewhere(self) -> None:
         pool = _Pool()
         pool.stand_still()
-        assert pool.engine.watch_progress()
+        assert pool.engine.handle_lagging_runs()
         assert pool.engine.take_stops() == [pool.first]
         assert pool.place() == [], "not before the first run has ended"
         pool.end(pool.first, EndKind.STOPPED, 1)
@@ -130,7 +130,7 @@
         other = next(r for r in pool.engine.runners if r != pool.first.runner_id)
         pool.engine.runners[other].ready = False
         pool.stand_still()
-        assert not pool.engine.watch_progress()
+        assert not pool.engine.handle_lagging_runs()
         assert pool.engine.take_stops() == []
 
     def test_do_not_happen_where_the_others_lack_the_label(self) -> None:
@@ -139,15 +139,15 @@
             if runner.runner_id != pool.first.runner_id:
                 runner.labels = ("b", "r")
         pool.stand_still()
-        assert not pool.engine.watch_progress()
+        assert not pool.engine.handle_lagging_runs()
 
 
 class TestCopies:
     def test_run_beside_what_a_silent_runner_has(self) -> None:
         pool = _Pool(speculative=True)
         pool.engine.runners[pool.first.runner_id].ready = False
-        pool.engine.want_copies(pool.first.runner_id)
-        pool.engine.want_copies(pool.first.runner_id)
+        pool.engine.request_copies(pool.first.runner_id)
+        pool.engine.request_copies(pool.first.runner_id)
         (copy,) = pool.place()
         assert copy.runner_id != pool.first.runner_id
         assert pool.first.task.attempts == [pool.first, copy]
@@ -158,7 +158,7 @@
         other = next(r for r in pool.engine.runners if r != pool.first.runner_id)
         pool.engine.runners[other].ready = False
         pool.stand_still()
-        assert pool.engine.watch_progress()
+        assert pool.engine.handle_lagging_runs()
         pool.first.task.waiting_since_s -= 60.0
         assert pool.place() == []
         pool.engine.runners[other].ready = True
@@ -168,13 +168,13 @@
     def test_are_not_made_where_the_step_does_not_allow_it(self) -> None:
         pool = _Pool()
         pool.engine.runners[pool.first.runner_id].ready = False
-        pool.engine.want_copies(pool.first.runner_id)
+        pool.engine.request_copies(pool.first.runner_id)
         assert pool.place() == []
 
     def test_stop_the_other_run_when_one_is_done(self) -> None:
         pool = _Pool(speculative=True)
         pool.stand_still()
-        assert pool.engine.watch_progress()
+        assert pool.engine.handle_lagging_runs()
         (copy,) = pool.place()
         pool.end(copy, EndKind.DONE, 1)
         assert pool.job.over
@@ -184,7 +184,7 @@
     def test_leave_one_run_when_the_other_fails(self) -> None:
         pool = _Pool(speculative=True)
         pool.stand_still()
-        assert pool.engine.watch_progress()
+        assert pool.engine.handle_lagging_runs()
         (copy,) = pool.place()
         pool.end(copy, EndKind.FAILED, 1)
         assert pool.first.task.attempts == [pool.first]
--- a/src/streamthread/scheduler/tests/test_restarts.py
+++ b/src/streamthread/scheduler/tests/test_restarts.py
@@ -134,10 +134,10 @@
         cell.before.penalty_until_s = 1e12
         cell.before.failed_at_s.append(1e12)
         cell.before.stray_runs = 1
-        cell.before.trial_until_s = 1e12
+        cell.before.probation_until_s = 1e12
         after = cell.restart()
         assert after.usable()
-        assert not after.penalty_until_s and not after.trial_until_s
+        assert not after.penalty_until_s and not after.probation_until_s
         assert not after.failed_at_s
 
     def test_may_get_a_task_that_failed_in_its_former_life(self, cell: _Cell) -> None:
@@ -154,10 +154,10 @@
 
     def test_tells_its_earlier_lives_apart_from_a_next_one(self, cell: _Cell) -> None:
         after = cell.restart()
-        assert not after.is_next_life(BORN_MS)
-        assert not after.is_next_life(after.born_ms)
-        assert not after.is_next_life(None)
-        assert after.is_next_life(BORN_MS + 2)
+        assert not after.is_next_incarnation(BORN_MS)
+        assert not after.is_next_incarnation(after.born_ms)
+        assert not after.is_next_incarnation(None)
+        assert after.is_next_incarnation(BORN_MS + 2)
 
 
 class TestRecordedRuns:
--- a/src/streamthread/scheduler/tests/test_stops.py
+++ b/src/streamthread/scheduler/tests/test_stops.py
@@ -53,12 +53,12 @@
         engine, job = _engine_with_runs()
         engine.cancel(job)
         assert _count(lines, "run-to-stop") == 2
-        engine.watch_stops()
+        engine.log_overdue_stops()
         assert engine.overdue_stops == 0
         for attempt in job.attempts():
             _age(attempt)
-        engine.watch_stops()
-        engine.watch_stops()
+        engine.log_overdue_stops()
+        engine.log_overdue_stops()
         assert engine.overdue_stops == 2
         assert _count(lines, "stop-overdue") == 2
 
@@ -67,9 +67,9 @@
         engine.cancel(job)
         for attempt in job.attempts():
             _age(attempt)
-        engine.watch_stops()
-        engine.runner_over("i-1", "test")
-        engine.watch_stops()
+        engine.log_overdue_stops()
+        engine.runner_exited("i-1", "test")
+        engine.log_overdue_stops()
         assert engine.overdue_stops == 0
 
 
--- a/src/streamthread/scheduler/tests/test_unreached_starts.py
+++ b/src/streamthread/scheduler/tests/test_unreached_starts.py
@@ -53,7 +53,7 @@
         return ""
 
     def on_life_over(self, link: t.Any, why: str) -> None:
-        self._engine.runner_over(link.runner.runner_id, why)
+        self._engine.runner_exited(link.runner.runner_id, why)
 
 
 async def _start(*errors: Exception) -> Task:
--- a/src/streamthread/scheduler/trials.py
+++ b/src/streamthread/scheduler/trials.py
@@ -37,7 +37,7 @@
 
     :param now_s: on the boot clock.
     """
-    return runner.trial_until_s <= now_s or runner.trial_job is job
+    return runner.probation_until_s <= now_s or runner.probation_job is job
 
 
 def begin_trial(task: Task, runner: RunnerState) -> None:
@@ -48,8 +48,8 @@
     now_s = boot_s()
     if _has_waited(task.waiting_since_s, now_s):
         return
-    runner.trial_job = task.step.occurrence.job
-    runner.trial_until_s = now_s + TRIAL_S
+    runner.probation_job = task.step.occurrence.job
+    runner.probation_until_s = now_s + TRIAL_S
 
 
 def _has_waited(since_s: float, now_s: float) -> bool:
@@ -70,12 +70,12 @@
     open_ones = [runner for runner in runners if open_to(job, runner, now_s)]
     if _has_waited(waits_since_s, now_s):
         return [r for r in open_ones if not _starts_suspects(job, r, now_s)]
-    on_trial = sum(runner.trial_until_s > now_s for runner in runners)
+    on_trial = sum(runner.probation_until_s > now_s for runner in runners)
     most = max(1, int(len(runners) * MOST_ON_TRIAL))
     return [
         runner
         for runner in open_ones
-        if (on_trial < most or runner.trial_until_s > now_s)
+        if (on_trial < most or runner.probation_until_s > now_s)
         and not _starts_others(job, runner, now_s)
     ]
 
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -202,7 +202,7 @@
     Guard(
         "trials-run-apart",
         "scheduler/trials.py",
-        "    return runner.trial_until_s <= now_s or runner.trial_job is job\n",
+        "    return runner.probation_until_s <= now_s or runner.probation_job is job\n",
         "    return True\n",
         (f"{CRASHES}::TestTrial",),
     ),
@@ -237,7 +237,7 @@
     Guard(
         "runners-heard-again-clear-tasks",
         "scheduler/outcomes.py",
-        "        self._crashes.on_heard(runner)\n",
+        "        self._crashes.on_runner_response(runner)\n",
         "",
         (f"{CRASHES}::TestWhatIsNoCrash",),
     ),
@@ -251,14 +251,14 @@
     Guard(
         "lives-are-told-apart",
         "runners/link.py",
-        "        if self.runner.is_next_life(reply.born_ms):\n",
+        "        if self.runner.is_next_incarnation(reply.born_ms):\n",
         "        if False:\n",
         ("src/streamthread/runners/tests/test_restarts.py::TestNextLife",),
     ),
     Guard(
         "entries-tell-lives-apart",
         "holder/listing.py",
-        "        if link.runner.is_next_life(entry.born_ms):\n",
+        "        if link.runner.is_next_incarnation(entry.born_ms):\n",
         "        if False:\n",
         (f"{LISTING_TESTS}::TestRestartedRunners",),
     ),
@@ -279,7 +279,7 @@
     Guard(
         "recorded-runs-name-their-life",
         "scheduler/engine.py",
-        "                if attempt.is_of_other_life(runner.born_ms):\n",
+        "                if attempt.is_of_other_incarnation(runner.born_ms):\n",
         "                if False:\n",
         (f"{RESTARTS}::TestRecordedRuns",),
     ),
