--- a/src/streamthread/scheduler/__init__.py
+++ b/src/streamthread/scheduler/__init__.py
@@ -11,7 +11,7 @@
 from .model import JobState
 from .model import new_job
 from .model import Phase
-from .model import RunnerLife
+from .model import RunnerIncarnation
 from .model import StepRun
 from .model import Task
 from .model import TaskState
@@ -25,7 +25,7 @@
     "Job",
     "JobState",
     "Phase",
-    "RunnerLife",
+    "RunnerIncarnation",
     "RunnerState",
     "StepRun",
     "Stray",
--- a/src/streamthread/scheduler/accounts.py
+++ b/src/streamthread/scheduler/accounts.py
@@ -9,7 +9,7 @@
 from .model import Attempt
 from .model import Job
 
-__all__ = ["AccountRoom", "LimitSource", "Running", "may_see", "over_limit"]
+__all__ = ["AccountUsage", "LimitSource", "Running", "may_see", "over_limit"]
 
 LimitSource = t.Callable[[str], Limit | None]
 """Returns what an account may have running at once; None: it is not known."""
@@ -44,9 +44,9 @@
         self.gpu += request.gpu * runs
         self.tasks += runs
 
-    def count_fitting(self, request: StepRequest, limit: Limit, most: int) -> int:
+    def count_fitting(self, request: StepRequest, limit: Limit, max_count: int) -> int:
         """Return how many more runs of a step a limit allows, ``most`` at most."""
-        count = most
+        count = max_count
         for used, each, whole in (
             (self.cpu, request.cpu, limit.cpu),
             (self.memory_mb, request.memory_mb, limit.memory_mb),
@@ -57,7 +57,7 @@
         return max(0, count)
 
 
-class AccountRoom:
+class AccountUsage:
     """Holds each account to its limit, over all pools and runners.
 
     A run counts from the moment at which it is decided until it is known to be over:
@@ -97,12 +97,12 @@
         """Return what an account may have running at once; None: it is not known."""
         return self._limit_of(account) if account else None
 
-    def count_fitting(self, job: Job, request: StepRequest, most: int) -> int:
+    def count_fitting(self, job: Job, request: StepRequest, max_count: int) -> int:
         """Return how many more runs of a job's step its account may have."""
         limit = self.limit_of(job.account)
         if limit is None:
-            return most
-        return self.of(job.account).count_fitting(request, limit, most)
+            return max_count
+        return self.of(job.account).count_fitting(request, limit, max_count)
 
 
 def over_limit(job: Job, limit: Limit | None) -> str:
--- a/src/streamthread/scheduler/codec.py
+++ b/src/streamthread/scheduler/codec.py
@@ -236,13 +236,13 @@
     job.done_times = set(row.done_times)
     for number, steps in row.times.items():
         if len(steps) != len(job.request.steps):
-            raise _misfit(job, number, "has another number of steps")
+            raise _progress_mismatch(job, number, "has another number of steps")
         occurrence = job.begin(number)
         for step, step_row in zip(occurrence.steps, steps, strict=True):
             _restore_step(step, step_row)
 
 
-def _misfit(job: Job, number: int, message: str) -> UnreadableError:
+def _progress_mismatch(job: Job, number: int, message: str) -> UnreadableError:
     """Return the error for progress that is not that of its job."""
     return _PROGRESS.refuse_at(f"$.times[{number}]", message, job.job_id)
 
@@ -251,7 +251,9 @@
     job = step.occurrence.job
     done = int(row.done, 16)
     if done >> len(step.tasks):
-        raise _misfit(job, step.occurrence.number, "tells of tasks that are not there")
+        raise _progress_mismatch(
+            job, step.occurrence.number, "tells of tasks that are not there"
+        )
     for task in step.tasks:
         if done >> task.index & 1:
             task.state = TaskState.DONE
@@ -259,7 +261,7 @@
     for entry in row.tasks:
         if entry.index >= len(step.tasks):
             message = "tells of tasks that are not there"
-            raise _misfit(job, step.occurrence.number, message)
+            raise _progress_mismatch(job, step.occurrence.number, message)
         _restore_task(step.tasks[entry.index], entry, job.over)
 
 
@@ -269,7 +271,7 @@
     task.checkpoint = row.checkpoint
     task.crashes = row.crashes
     task.later_ends = row.later_ends
-    task.on_trial = task.lost_runners > 0
+    task.on_probation = task.lost_runners > 0
     task.attempts = [
         Attempt(
             task,
@@ -285,6 +287,6 @@
     ]
     for attempt in task.attempts:
         if attempt.blamed or task.state is TaskState.DONE or job_over:
-            attempt.be_stopped(READ_BACK)
+            attempt.mark_stopping(READ_BACK)
     if task.attempts and task.state is TaskState.WAITING:
         task.state = TaskState.PLACED
--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -19,25 +19,25 @@
 from .model import Attempt
 from .model import Blame
 from .model import Phase
-from .model import RunnerLife
+from .model import RunnerIncarnation
 from .model import Task
+from .probation import SIMULTANEOUS_START_S
 from .settings import EngineSettings
-from .steadiness import Steadiness
-from .trials import SAME_MOMENT_S
+from .stability import PoolStability
 
 __all__ = ["Crashes", "describe", "started_last"]
 
 log = logbook.Logger("streamthread.scheduler")
 
-OUTLIVED_MS = 50
+MIN_OUTLIVED_MS = 50
 """By its clock: a runner that has lived on for so long after a start was not taken down
 by that start alone, which takes some 10 ms."""
 
-AT_START_S = 0.5
+START_CRASH_WINDOW_S = 0.5
 """A run that takes its runner down does so within some 10 ms; the start, the call that
 meets the closed connection and a busy loop add up to some 0.3 s."""
 
-LIVED_S = 2.0
+STABLE_RUN_S = 2.0
 """A run that has worked for so long does not crash each runner that starts it. Where a
 runner is silent with open connections, it is known no better since when: a call takes
 1.5 s at most to find out."""
@@ -50,9 +50,9 @@
 
     :param now_s: on the boot clock; counts where the runner was never silent.
     """
-    found = _started_within(runner, AT_START_S, now_s)
+    found = _started_within(runner, START_CRASH_WINDOW_S, now_s)
     latest_s = max((attempt.sent_at_s for attempt in found), default=0.0)
-    return [a for a in found if a.sent_at_s >= latest_s - SAME_MOMENT_S]
+    return [a for a in found if a.sent_at_s >= latest_s - SIMULTANEOUS_START_S]
 
 
 def _started_within(
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class _Verdict:
+class _Attribution:
     """What the end of a runner is laid to.
 
     :param exact: it is known that this had just been started there.
@@ -92,7 +92,9 @@
     def one_job_there(self) -> bool:
         """Whether all that is blamed is of one job, and has surely begun there."""
         jobs = {id(attempt.task.step.occurrence.job) for attempt in self.blamed}
-        return len(jobs) == 1 and all(attempt.there_ms for attempt in self.blamed)
+        return len(jobs) == 1 and all(
+            attempt.first_confirmed_ms for attempt in self.blamed
+        )
 
 
 class Crashes:
@@ -101,14 +103,14 @@
     def __init__(self, ledger: Ledger, settings: EngineSettings) -> None:
         self._ledger = ledger
         self._settings = settings
-        self._steadiness = Steadiness(settings.unsteady_ends)
+        self._stability = PoolStability(settings.unsteady_ends)
 
     def suspect(self, runner: RunnerState) -> None:
         """Doubt what a runner began as it fell silent, until it is heard again."""
         if runner.hung:
             return
         for attempt in started_last(runner, boot_s()):
-            attempt.doubtful = True
+            attempt.suspected = True
 
     @staticmethod
     def may_copy(task: Task) -> bool:
@@ -117,78 +119,82 @@
         One that silenced two runners, or one after it had ended one, waits until their
         fate is known.
         """
-        return task.lost_runners + sum(a.doubtful for a in task.attempts) < 2
+        return task.lost_runners + sum(a.suspected for a in task.attempts) < 2
 
     def on_runner_response(self, runner: RunnerState) -> None:
         """Take it that a runner lives: it was cut off, and nothing crashed it."""
         for attempt in runner.attempts.values():
-            attempt.doubtful = False
+            attempt.suspected = False
         for blame in runner.blamed:
-            self._take_back(blame)
+            self._withdraw_blame(blame)
         runner.blamed.clear()
 
-    def _take_back(self, blame: Blame) -> None:
+    def _withdraw_blame(self, blame: Blame) -> None:
         task = blame.task
         if blame.later:
             task.later_ends = max(0, task.later_ends - 1)
         else:
             task.crashes = max(0, task.crashes - 1)
-        task.on_trial = task.on_trial and task.lost_runners > 0
+        task.on_probation = task.on_probation and task.lost_runners > 0
         self._ledger.changed(task.step.occurrence.job)
 
-    def acquit(self, task: Task) -> None:
+    def clear_crashes(self, task: Task) -> None:
         """Take it that a run of a task ended, or went on, without harm."""
         if not task.lost_runners:
             return
         task.crashes = task.later_ends = 0
-        task.on_trial = False
+        task.on_probation = False
         self._ledger.changed(task.step.occurrence.job)
 
-    def acquit_if_lived(self, attempt: Attempt) -> None:
+    def clear_crashes_if_stable(self, attempt: Attempt) -> None:
         """Acquit the task of a run that its runner has listed for long enough."""
         if not attempt.task.lost_runners or not attempt.began_at_s:
             return
-        if boot_s() - attempt.began_at_s > LIVED_S:
-            self.acquit(attempt.task)
+        if boot_s() - attempt.began_at_s > STABLE_RUN_S:
+            self.clear_crashes(attempt.task)
 
     # Ends.
 
-    def settle(self, runner: RunnerState) -> list[Task]:
+    def attribute_exit(self, runner: RunnerState) -> list[Task]:
         """Lay a runner's end to tasks; return those that are to be given up.
 
         What we ordered, or the runner announced, is no crash.
         """
         if runner.draining or runner.reserved:
             return []
-        verdict = self._judge(runner)
-        if not verdict.at_start:
-            self._steadiness.note_end(runner.service, runner.life)
-        for attempt in verdict.blamed:
-            runner.blamed.append(Blame(attempt.task, verdict.later))
-            self._blame(attempt, verdict, runner)
-        steady = not self._steadiness.is_unsteady(runner.service)
-        telling = verdict.at_start and verdict.one_job_there and steady
-        return [a.task for a in verdict.blamed if self._is_proven(a.task, telling)]
-
-    def _judge(self, runner: RunnerState) -> _Verdict:
+        attribution = self._attribute(runner)
+        if not attribution.at_start:
+            self._stability.record_exit(runner.service, runner.incarnation)
+        for attempt in attribution.blamed:
+            runner.blamed.append(Blame(attempt.task, attribution.later))
+            self._blame(attempt, attribution, runner)
+        stable = not self._stability.is_unstable(runner.service)
+        conclusive = attribution.at_start and attribution.one_job_there and stable
+        return [
+            a.task for a in attribution.blamed if self._is_at_fault(a.task, conclusive)
+        ]
+
+    def _attribute(self, runner: RunnerState) -> _Attribution:
         """Return what a runner's end is laid to."""
         now_s = boot_s()
         exact = not runner.hung and bool(started_last(runner, now_s))
         candidates = self._candidates(runner, now_s, exact)
         not_outlived = [a for a in candidates if not _is_outlived(a, runner)]
         if not_outlived:
-            return _Verdict(not_outlived, exact)
-        return _Verdict(candidates, exact, later=True)
+            return _Attribution(not_outlived, exact)
+        return _Attribution(candidates, exact, later=True)
 
-    def settle_orphan(self, attempt: Attempt) -> list[Task]:
+    def attribute_orphan_exit(self, attempt: Attempt) -> list[Task]:
         """Do the same for a run on a runner that was gone before this holder came."""
         if not self._may_be_at_fault(attempt):
             return []
         pool = attempt.task.step.occurrence.job.service
-        life = RunnerLife(attempt.runner_id, attempt.born_ms)
-        self._steadiness.note_end(pool, life)
-        self._blame(attempt, _Verdict((attempt,)))
-        return [attempt.task] if self._is_proven(attempt.task, telling=False) else []
+        incarnation = RunnerIncarnation(attempt.runner_id, attempt.born_ms)
+        self._stability.record_exit(pool, incarnation)
+        self._blame(attempt, _Attribution((attempt,)))
+        return (
+            [attempt.task] if self._is_at_fault(attempt.task, conclusive=False) else []
+        )
 
     def _candidates(
         self, runner: RunnerState, now_s: float, exact: bool
@@ -206,7 +212,7 @@
                 for attempt in runner.attempts.values()
                 if attempt.read_back and not attempt.seen_at_s
             ]
-            found = _started_within(runner, LIVED_S, now_s) + unknown
+            found = _started_within(runner, STABLE_RUN_S, now_s) + unknown
         return [attempt for attempt in found if self._may_be_at_fault(attempt)]
 
     @staticmethod
@@ -218,7 +224,7 @@
     def _blame(
         self,
         attempt: Attempt,
-        verdict: _Verdict,
+        attribution: _Attribution,
         runner: RunnerState | None = None,
     ) -> None:
         """Count an end against a task, and have it run apart where that is telling.
@@ -227,11 +233,13 @@
         """
         task = attempt.task
         attempt.blamed = True
-        if verdict.later:
+        if attribution.later:
             task.later_ends += 1
         else:
             task.crashes += 1
-        task.on_trial = task.on_trial or verdict.exact or task.lost_runners > 1
+        task.on_probation = (
+            task.on_probation or attribution.exact or task.lost_runners > 1
+        )
         # The next holder must not count this end again.
         self._ledger.changed(task.step.occurrence.job)
         self._ledger.count("crashed")
@@ -243,14 +251,14 @@
                 "runner": attempt.runner_id,
                 "crashes": task.crashes,
                 "later_ends": task.later_ends,
-                "just_started": verdict.exact,
+                "just_started": attribution.exact,
                 "silent_s_after": _silent_s_after(attempt, runner),
                 "outlived_ms": runner.outlived_ms(attempt) if runner else None,
             },
         )
 
-    def _is_proven(self, task: Task, telling: bool) -> bool:
-        if telling and task.crashes >= self._settings.crashes_alone:
+    def _is_at_fault(self, task: Task, conclusive: bool) -> bool:
+        if conclusive and task.crashes >= self._settings.crashes_alone:
             return True
         if task.crashes >= self._settings.most_crashes:
             return True
@@ -260,7 +268,7 @@
 def _is_outlived(attempt: Attempt, runner: RunnerState) -> bool:
     """Whether a runner surely lived on for a while after the start of a run."""
     outlived_ms = runner.outlived_ms(attempt)
-    return outlived_ms is not None and outlived_ms >= OUTLIVED_MS
+    return outlived_ms is not None and outlived_ms >= MIN_OUTLIVED_MS
 
 
 def _silent_s_after(attempt: Attempt, runner: RunnerState | None) -> float | None:
--- a/src/streamthread/scheduler/engine.py
+++ b/src/streamthread/scheduler/engine.py
@@ -16,7 +16,7 @@
 from .crashes import started_last
 from .fleet import RunnerState
 from .fleet import usable_runners
-from .lags import LagWatch
+from .lags import LagMonitor
 from .learning import RunTimes
 from .ledger import Ledger
 from .model import Attempt
@@ -25,12 +25,12 @@
 from .model import Task
 from .outcomes import Outcomes
 from .outcomes import Stray
-from .placement import LargestRoom
+from .placement import LargestFreeCapacity
 from .placement import order_steps
 from .placement import place_step
 from .placement import Placement
+from .probation import begin_probation
 from .settings import EngineSettings
-from .trials import begin_trial
 
 __all__ = ["Engine"]
 
@@ -57,7 +57,7 @@
         self._outcomes = Outcomes(
             self._ledger, self.times, self._crashes, self.settings
         )
-        self._lags = LagWatch(
+        self._lags = LagMonitor(
             self._ledger,
             self._outcomes,
             self._crashes,
@@ -122,18 +122,18 @@
                 if attempt.runner_id != runner.runner_id:
                     continue
                 if attempt.is_of_other_incarnation(runner.born_ms):
-                    given_up += self._crashes.settle_orphan(attempt)
-                    self._stop_on_next_life(attempt, runner)
+                    given_up += self._crashes.attribute_orphan_exit(attempt)
+                    self._stop_on_next_incarnation(attempt, runner)
                 else:
                     runner.add(attempt.task.name, attempt)
         for task in given_up:
             self._outcomes.give_up(task)
 
-    def _stop_on_next_life(self, attempt: Attempt, runner: RunnerState) -> None:
+    def _stop_on_next_incarnation(self, attempt: Attempt, runner: RunnerState) -> None:
         """Have a run stopped whose start may have come to this life of its runner."""
-        attempt.be_unconfirmed(runner.born_ms)
+        attempt.reset_confirmation(runner.born_ms)
         runner.add(attempt.task.name, attempt)
-        self.stops.want_anew(attempt, "runner-restarted")
+        self.stops.request_stop_again(attempt, "runner-restarted")
 
     def runner_exited(self, runner_id: str, why: str) -> None:
         """A runner's life has surely ended: nothing runs there any more."""
@@ -145,13 +145,13 @@
             "runner-over",
             extra=_describe_loss(runner, why),
         )
-        self._lapse(attempts, runner)
+        self._expire(attempts, runner)
 
-    def _lapse(self, attempts: t.Sequence[Attempt], runner: RunnerState) -> None:
+    def _expire(self, attempts: t.Sequence[Attempt], runner: RunnerState) -> None:
         """Have lost tasks placed again, but for those that ended their runners."""
-        given_up = self._crashes.settle(runner)
+        given_up = self._crashes.attribute_exit(runner)
         for attempt in attempts:
-            self._ledger.lapse(attempt, runner)
+            self._ledger.expire(attempt, runner)
         for task in given_up:
             self._outcomes.give_up(task)
 
@@ -163,8 +163,8 @@
         have come to the next life are stopped there before their tasks wait again.
         """
         self.restarts += 1
-        lost = [a for a in before.attempts.values() if a.dies_with_life]
-        left = [a for a in before.attempts.values() if not a.dies_with_life]
+        lost = [a for a in before.attempts.values() if a.ends_with_incarnation]
+        left = [a for a in before.attempts.values() if not a.ends_with_incarnation]
         log.warning(
             "runner-restarted",
             extra=_describe_loss(before, "started again")
@@ -178,10 +178,10 @@
         if before.born_ms is not None:
             after.earlier_born_ms |= {before.born_ms}
         after.reserved, after.emptying = before.reserved, before.emptying
-        self._lapse(lost, before)
+        self._expire(lost, before)
         self.runners[after.runner_id] = after
         for attempt in left:
-            self._stop_on_next_life(attempt, after)
+            self._stop_on_next_incarnation(attempt, after)
 
     def attempts_expired(self, runner_id: str, why: str) -> None:
         """All that ran on a runner has surely lapsed; the runner may live."""
@@ -192,7 +192,7 @@
             "attempts-lapsed",
             extra=_describe_loss(runner, why),
         )
-        self._lapse(list(runner.attempts.values()), runner)
+        self._expire(list(runner.attempts.values()), runner)
 
     def orphans(self) -> list[Attempt]:
         """Return the attempts on runners that are not known here."""
@@ -200,8 +200,8 @@
 
     def drop_orphan(self, attempt: Attempt) -> None:
         """An attempt on an unknown runner has surely lapsed."""
-        given_up = self._crashes.settle_orphan(attempt)
-        self._ledger.lapse(attempt, None)
+        given_up = self._crashes.attribute_orphan_exit(attempt)
+        self._ledger.expire(attempt, None)
         for task in given_up:
             self._outcomes.give_up(task)
 
@@ -233,7 +233,7 @@
 
     def stop(self, attempt: Attempt, reason: str) -> None:
         """Have a run stopped; its task waits again once it has ended."""
-        self.stops.want(attempt, reason)
+        self.stops.request_stop(attempt, reason)
 
     def take_stops(self) -> list[Attempt]:
         """Return the runs for which a stop is to be sent now; the caller sends it."""
@@ -246,7 +246,7 @@
 
     def log_overdue_stops(self) -> None:
         """Tell of runs that go on though they have been to be stopped for long."""
-        self.stops.tell_overdue()
+        self.stops.log_overdue()
 
     # Copies, and runs that lag behind.
 
@@ -313,23 +313,25 @@
         tickets: t.Callable[[StepRun], t.Collection[str] | None],
     ) -> list[Attempt]:
         runners = usable_runners(self.runners.values(), service)
-        largest = LargestRoom.among(runners)
+        largest = LargestFreeCapacity.among(runners)
         placed: list[Attempt] = []
         candidates = self._candidates(steps, largest, len(runners))
         for step in order_steps(candidates, self.times, now_s):
-            in_need = self._in_need(step)
-            most = self._account_room(step)
-            if not most or (not in_need and not largest.may_fit(step)):
-                self._tell_placed(step, [], len(runners))
+            last_resort = self._needs_last_resort(step)
+            max_count = self._account_capacity(step)
+            if not max_count or (not last_resort and not largest.may_fit(step)):
+                self._log_placement(step, [], len(runners))
                 continue
             usable = runners
-            if in_need:
-                usable = usable_runners(self.runners.values(), service, in_need=True)
-            attempts = self._place_step(step, usable, now_s, tickets(step), most)
+            if last_resort:
+                usable = usable_runners(
+                    self.runners.values(), service, last_resort=True
+                )
+            attempts = self._place_step(step, usable, now_s, tickets(step), max_count)
             placed.extend(attempts)
             if not attempts:
                 # Room has become less since it was measured.
-                largest = LargestRoom.among(runners)
+                largest = LargestFreeCapacity.among(runners)
         return placed
 
     def _place_step(
@@ -338,44 +340,44 @@
         usable: t.Sequence[RunnerState],
         now_s: float,
         tickets: t.Collection[str] | None,
-        most: int,
+        max_count: int,
     ) -> list[Attempt]:
         planned = [
             (placement, _next_run(placement.task))
-            for placement in place_step(step, usable, now_s, tickets, most)
+            for placement in place_step(step, usable, now_s, tickets, max_count)
         ]
         attempts = [self._plan(p.task, p.runner, run) for p, run in planned]
-        self._tell_placed(step, planned, len(usable))
+        self._log_placement(step, planned, len(usable))
         return attempts
 
-    def _account_room(self, step: StepRun) -> int:
+    def _account_capacity(self, step: StepRun) -> int:
         """Return how many more tasks of a step its client account may have running."""
         job, request = step.occurrence.job, step.request
         return self.accounts.count_fitting(job, request, len(step.tasks))
 
     def _candidates(
-        self, steps: t.Iterable[StepRun], largest: LargestRoom, usable: int
+        self, steps: t.Iterable[StepRun], largest: LargestFreeCapacity, usable: int
     ) -> list[StepRun]:
         """Return the steps worth sorting: those that some runner has room for."""
         found: list[StepRun] = []
         for step in steps:
-            if largest.may_fit(step) or self._in_need(step):
+            if largest.may_fit(step) or self._needs_last_resort(step):
                 found.append(step)
             else:
-                self._tell_placed(step, [], usable)
+                self._log_placement(step, [], usable)
         return found
 
     @staticmethod
-    def _tell_placed(
+    def _log_placement(
         step: StepRun, planned: list[tuple[Placement, int]], usable: int
     ) -> None:
         """Say where tasks go; that a step waits is said once."""
-        if not planned and step.told_waiting:
+        if not planned and step.waiting_logged:
             return
         left = len(step.waiting())
         if not planned and not left:
             return
-        step.told_waiting = left > 0
+        step.waiting_logged = left > 0
         occurrence = step.occurrence
         log.info(
             "tasks-placed" if planned else "tasks-wait",
@@ -389,7 +391,7 @@
             },
         )
 
-    def _in_need(self, step: StepRun) -> bool:
+    def _needs_last_resort(self, step: StepRun) -> bool:
         """Whether lasting tasks have waited for so long that any runner will do."""
         if not step.request.lasting:
             return False
@@ -401,8 +403,8 @@
         attempt = Attempt(task, task.last_run, runner.runner_id, born_ms=runner.born_ms)
         self._ledger.plan(attempt, runner)
         if task.suspect:
-            begin_trial(task, runner)
-        task.copy_wanted = False
+            begin_probation(task, runner)
+        task.copy_requested = False
         self._ledger.changed(task.step.occurrence.job)
         return attempt
 
--- a/src/streamthread/scheduler/fleet.py
+++ b/src/streamthread/scheduler/fleet.py
@@ -9,7 +9,7 @@
 from .model import Attempt
 from .model import Blame
 from .model import Job
-from .model import RunnerLife
+from .model import RunnerIncarnation
 
 __all__ = ["RunnerState", "usable_runners"]
 
@@ -86,9 +86,9 @@
         )
 
     @property
-    def life(self) -> RunnerLife:
+    def incarnation(self) -> RunnerIncarnation:
         """What tells this life from others under its id."""
-        return RunnerLife(self.runner_id, self.born_ms)
+        return RunnerIncarnation(self.runner_id, self.born_ms)
 
     def next_incarnation(self, born_ms: int) -> "RunnerState":
         """Return the life after this one, as far as it is known before its entry."""
@@ -157,13 +157,17 @@
 
         None: it never said that the run is there.
         """
-        return self.clock_ms - attempt.there_ms if attempt.there_ms else None
+        return (
+            self.clock_ms - attempt.first_confirmed_ms
+            if attempt.first_confirmed_ms
+            else None
+        )
 
     def add(self, name: str, attempt: Attempt) -> None:
         """Take room for an attempt."""
         self.attempts[name, attempt.run] = attempt
         request = attempt.task.step.request
-        self.used_cpu += attempt.task.step.room_cpu
+        self.used_cpu += attempt.task.step.reserved_cpu
         self.used_memory_mb += request.memory_mb
         self.used_gpu += request.gpu
 
@@ -172,7 +176,7 @@
         if self.attempts.pop((name, attempt.run), None) is None:
             return
         request = attempt.task.step.request
-        self.used_cpu -= attempt.task.step.room_cpu
+        self.used_cpu -= attempt.task.step.reserved_cpu
         self.used_memory_mb -= request.memory_mb
         self.used_gpu -= request.gpu
 
@@ -184,9 +188,9 @@
             and self.used_gpu + gpu <= self.gpu
         )
 
-    def count_fitting(self, cpu: int, memory_mb: int, gpu: int, most: int) -> int:
+    def count_fitting(self, cpu: int, memory_mb: int, gpu: int, max_count: int) -> int:
         """Return for how many tasks of one kind there is room, ``most`` at most."""
-        count = max(0, most)
+        count = max(0, max_count)
         if cpu:
             count = min(count, self.free_cpu // cpu)
         if memory_mb:
@@ -197,9 +201,9 @@
 
     def usable(self) -> bool:
         """Whether it may get new tasks."""
-        return self.usable_in_need() and not self.emptying
+        return self.usable_as_last_resort() and not self.emptying
 
-    def usable_in_need(self) -> bool:
+    def usable_as_last_resort(self) -> bool:
         """Whether it may get tasks that have waited for too long elsewhere."""
         return (
             self.ready
@@ -210,11 +214,12 @@
 
 
 def usable_runners(
-    runners: t.Iterable[RunnerState], service: str, in_need: bool = False
+    runners: t.Iterable[RunnerState], service: str, last_resort: bool = False
 ) -> list[RunnerState]:
     """Return the runners of a pool that may get new tasks."""
     return [
         r
         for r in runners
-        if r.service == service and (r.usable_in_need() if in_need else r.usable())
+        if r.service == service
+        and (r.usable_as_last_resort() if last_resort else r.usable())
     ]
--- a/src/streamthread/scheduler/lags.py
+++ b/src/streamthread/scheduler/lags.py
@@ -15,16 +15,16 @@
 from .outcomes import Outcomes
 from .placement import is_avoided
 from .placement import suits
-from .progress import judge_progress
+from .progress import detect_lag
 from .progress import Lag
 from .progress import ProgressSettings
 
-__all__ = ["LagWatch"]
+__all__ = ["LagMonitor"]
 
 log = logbook.Logger("streamthread.scheduler")
 
 
-class LagWatch:
+class LagMonitor:
     """Has runs that lag behind done elsewhere, too: by a copy, or after a stop.
 
     A copy runs beside the first run, where the step allows it; no other task may run
@@ -55,7 +55,7 @@
             return False
         self._crashes.suspect(runner)
         wanted = [
-            self._want_copy(attempt, runner, "silent")
+            self._request_copy(attempt, runner, "silent")
             for attempt in runner.attempts.values()
         ]
         return any(wanted)
@@ -68,46 +68,46 @@
                 continue
             for attempt in list(runner.attempts.values()):
                 expected_s = self._times.learned_s(learning_key(attempt.task.step))
-                lag = judge_progress(attempt, expected_s, self._settings)
+                lag = detect_lag(attempt, expected_s, self._settings)
                 if lag is not None:
-                    found = self._leave(attempt, runner, lag) or found
+                    found = self._replace_run(attempt, runner, lag) or found
         return found
 
-    def _leave(self, attempt: Attempt, runner: RunnerState, lag: Lag) -> bool:
+    def _replace_run(self, attempt: Attempt, runner: RunnerState, lag: Lag) -> bool:
         """Have a lagging run done elsewhere, if there is room."""
         task = attempt.task
         if task.step.request.speculative:
-            return self._want_copy(attempt, runner, lag.value)
+            return self._request_copy(attempt, runner, lag.value)
         if task.moves >= self._settings.most_moves:
             return False
-        if not self._has_room_elsewhere(task, runner):
+        if not self._fits_elsewhere(task, runner):
             return False
         task.moves += 1
-        task.avoid.add(runner.life)
+        task.avoid.add(runner.incarnation)
         self._outcomes.note_failure(runner)
         self._ledger.count(f"moved-{lag.value}")
-        _tell_lag(attempt, lag.value)
-        self._ledger.stops.want(attempt, lag.value)
+        _log_lag(attempt, lag.value)
+        self._ledger.stops.request_stop(attempt, lag.value)
         return True
 
-    def _want_copy(self, attempt: Attempt, runner: RunnerState, why: str) -> bool:
+    def _request_copy(self, attempt: Attempt, runner: RunnerState, why: str) -> bool:
         """Have one more run of a task placed, if it may have one and has none."""
         task = attempt.task
         request = task.step.request
-        if len(task.attempts) != 1 or task.copy_wanted:
+        if len(task.attempts) != 1 or task.copy_requested:
             return False
         if not self._crashes.may_copy(task):
             return False
         if not request.speculative or request.gang or attempt.phase is Phase.STOPPING:
             return False
-        task.copy_wanted = True
+        task.copy_requested = True
         task.waiting_since_s = boot_s()
-        task.avoid.add(runner.life)
+        task.avoid.add(runner.incarnation)
         self._ledger.count(f"copied-{why}")
-        _tell_lag(attempt, why)
+        _log_lag(attempt, why)
         return True
 
-    def _has_room_elsewhere(self, task: Task, runner: RunnerState) -> bool:
+    def _fits_elsewhere(self, task: Task, runner: RunnerState) -> bool:
         request = task.step.request
         return any(
             suits(task.step, other)
@@ -117,7 +117,7 @@
         )
 
 
-def _tell_lag(attempt: Attempt, why: str) -> None:
+def _log_lag(attempt: Attempt, why: str) -> None:
     log.info(
         "run-lags",
         extra={
--- a/src/streamthread/scheduler/ledger.py
+++ b/src/streamthread/scheduler/ledger.py
@@ -6,7 +6,7 @@
 import logbook
 
 from ..clocks import boot_s
-from .accounts import AccountRoom
+from .accounts import AccountUsage
 from .accounts import LimitSource
 from .fleet import RunnerState
 from .model import Attempt
@@ -43,7 +43,7 @@
         limit_of: LimitSource,
     ) -> None:
         self.changed = changed
-        self.accounts = AccountRoom(limit_of)
+        self.accounts = AccountUsage(limit_of)
         self.jobs: dict[str, Job] = {}
         self.open: dict[str, Job] = {}
         self.runners: dict[str, RunnerState] = {}
@@ -111,13 +111,13 @@
             if job.over and job.ended_at_s is None:
                 job.ended_at_s = time.time()
                 self.changed(job)
-                self._tell_ended(job)
+                self._log_job_ended(job)
         if job.over and not job.has_attempts():
             job.occurrences.clear()
             self.open.pop(job.job_id, None)
 
     @staticmethod
-    def _tell_ended(job: Job) -> None:
+    def _log_job_ended(job: Job) -> None:
         log.info(
             "job-ended",
             extra={
@@ -154,11 +154,11 @@
             if attempt.runner_id not in self.runners
         ]
 
-    def lapse(self, attempt: Attempt, runner: RunnerState | None) -> None:
+    def expire(self, attempt: Attempt, runner: RunnerState | None) -> None:
         """An attempt has surely lapsed: its task waits again."""
         self.count("lapsed")
         self.remove(attempt, runner)
-        self.wait_again(attempt.task)
+        self.requeue(attempt.task)
         job = attempt.task.step.occurrence.job
         self.changed(job)
         self.settle_job(job)
@@ -174,7 +174,7 @@
             runner.remove(task.name, attempt)
 
     @staticmethod
-    def wait_again(task: Task) -> None:
+    def requeue(task: Task) -> None:
         """Have a task placed anew once it has no attempt."""
         if task.state is TaskState.PLACED and not task.attempts:
             task.state = TaskState.WAITING
@@ -187,12 +187,12 @@
         task.state = TaskState.DONE
         task.step.done_count += 1
         for attempt in task.attempts:
-            self.stops.want(attempt, "copy-done")
+            self.stops.request_stop(attempt, "copy-done")
 
     # Stops.
 
     def stop_all(self, job: Job, reason: str) -> None:
         """Have all runs of a job stopped."""
         for attempt in job.attempts():
-            self.stops.want(attempt, reason)
+            self.stops.request_stop(attempt, reason)
         self.settle_job(job)
--- a/src/streamthread/scheduler/model.py
+++ b/src/streamthread/scheduler/model.py
@@ -19,7 +19,7 @@
     "JobState",
     "Occurrence",
     "Phase",
-    "RunnerLife",
+    "RunnerIncarnation",
     "StepRun",
     "Stop",
     "Task",
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class RunnerLife:
+class RunnerIncarnation:
     """One life of a runner; what its id did in another life says nothing of it."""
 
     runner_id: str
@@ -127,7 +127,7 @@
     born_ms: int | None = None
     read_back: bool = False
     confirmed_clock_ms: int = 0
-    there_ms: int = 0
+    first_confirmed_ms: int = 0
     open_starts: int = 0
     sent_at_s: float = 0.0
     began_at_s: float = 0.0
@@ -135,15 +135,15 @@
     first_percent: float = 0.0
     first_seen_at_s: float = 0.0
     seen_at_s: float = 0.0
-    moved_on_at_s: float = 0.0
+    progress_changed_at_s: float = 0.0
     usage: float | None = None
     pace_percent: int | None = 100
     pace_open_until_s: float = 0.0
     missing_since_ms: int = 0
     unlisted_since_s: float = 0.0
-    unlisted_told: bool = False
+    unlisted_logged: bool = False
     blamed: bool = False
-    doubtful: bool = False
+    suspected: bool = False
     stop: Stop | None = None
 
     @property
@@ -159,13 +159,13 @@
             return True
         return not self.began_at_s
 
-    def be_stopped(self, reason: str) -> None:
+    def mark_stopping(self, reason: str) -> None:
         """Note that it is to be stopped; who calls this has the stop sent."""
         self.phase = Phase.STOPPING
         self.stop = Stop(reason, boot_s())
 
     @property
-    def dies_with_life(self) -> bool:
+    def ends_with_incarnation(self) -> bool:
         """Whether it is surely nowhere once this life of its runner is over.
 
         An order that no life has answered may yet be carried out by the next one.
@@ -178,19 +178,19 @@
         """Whether it was meant for another life of its runner than this one."""
         return None not in (born_ms, self.born_ms) and born_ms != self.born_ms
 
-    def be_unconfirmed(self, born_ms: int | None) -> None:
+    def reset_confirmation(self, born_ms: int | None) -> None:
         """Forget what an earlier life of its runner said of it.
 
         :param born_ms: when the life began that is asked for it from now on.
         """
         self.born_ms = born_ms
-        self.confirmed_clock_ms = self.there_ms = 0
+        self.confirmed_clock_ms = self.first_confirmed_ms = 0
         self.began_at_s = 0.0
-        self.first_seen_at_s = self.seen_at_s = self.moved_on_at_s = 0.0
+        self.first_seen_at_s = self.seen_at_s = self.progress_changed_at_s = 0.0
         self.missing_since_ms = 0
         self.unlisted_since_s = 0.0
 
-    def go_on(self) -> None:
+    def cancel_stop(self) -> None:
         """Note that it is not to be stopped any more; it was not."""
         self.phase = Phase.CONFIRMED
         self.stop = None
@@ -210,8 +210,8 @@
         """Take how far its runner says that it is."""
         if not self.first_seen_at_s:
             self.first_percent, self.first_seen_at_s = percent, now_s
-        if percent != self.percent or not self.moved_on_at_s:
-            self.moved_on_at_s = now_s
+        if percent != self.percent or not self.progress_changed_at_s:
+            self.progress_changed_at_s = now_s
         self.percent = percent
         self.seen_at_s = now_s
 
@@ -243,19 +243,19 @@
     failures: int = 0
     checkpoint: str = ""
     attempts: list[Attempt] = attrs.field(factory=list)
-    avoid: set[RunnerLife] = attrs.field(factory=set)
+    avoid: set[RunnerIncarnation] = attrs.field(factory=set)
     not_before_s: float = 0.0
     waiting_since_s: float = attrs.field(factory=boot_s)
-    copy_wanted: bool = False
+    copy_requested: bool = False
     moves: int = 0
     crashes: int = 0
     later_ends: int = 0
-    on_trial: bool = False
+    on_probation: bool = False
 
     @property
     def suspect(self) -> bool:
         """Whether it may be what ended a runner, or what silenced one just now."""
-        return self.on_trial or any(attempt.doubtful for attempt in self.attempts)
+        return self.on_probation or any(attempt.suspected for attempt in self.attempts)
 
     @property
     def lost_runners(self) -> int:
@@ -263,11 +263,11 @@
         return self.crashes + self.later_ends
 
     @property
-    def wants_attempt(self) -> bool:
+    def needs_attempt(self) -> bool:
         """Whether a runner is to be found for it."""
         if self.state is TaskState.WAITING:
             return True
-        return self.copy_wanted and self.state is TaskState.PLACED
+        return self.copy_requested and self.state is TaskState.PLACED
 
     @property
     def name(self) -> str:
@@ -313,7 +313,7 @@
     request: StepRequest
     tasks: list[Task] = attrs.field(factory=list)
     done_count: int = 0
-    told_waiting: bool = False
+    waiting_logged: bool = False
     urgency: tuple[t.Any, ...] | None = None
     urgency_at_s: float = 0.0
 
@@ -323,7 +323,7 @@
         return self.done_count == len(self.tasks)
 
     @property
-    def room_cpu(self) -> int:
+    def reserved_cpu(self) -> int:
         """The room that one task takes: filling ones live on what others leave."""
         return 0 if self.request.fills else self.request.cpu
 
@@ -334,11 +334,11 @@
 
     def has_waiting(self) -> bool:
         """Whether a runner is to be found for some task."""
-        return any(task.wants_attempt for task in self.tasks)
+        return any(task.needs_attempt for task in self.tasks)
 
     def waiting(self) -> list[Task]:
         """Return the tasks for which a runner is to be found."""
-        return [task for task in self.tasks if task.wants_attempt]
+        return [task for task in self.tasks if task.needs_attempt]
 
 
 @attrs.define(eq=False)
--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -27,11 +27,11 @@
 
 log = logbook.Logger("streamthread.orders")
 
-TRIAL_LOOK_S = 0.06
+PROBATION_CHECK_S = 0.06
 """A run on trial is looked at so long after its start: a run that takes its runner down
 does so within some 10 ms."""
 
-LATEST_ORDER_S = 12.0
+MAX_ORDER_DELAY_S = 12.0
 """An order without an answer may be carried out so much later, as the users describe
 their troubles. Lists do not tell the pace, so that nothing shows it earlier."""
 
@@ -102,7 +102,7 @@
     async def start(self, attempt: Attempt) -> None:
         """Send a recorded start until the runner has answered it."""
         uncertain = attempt.phase is Phase.SENT
-        while self._wanted(attempt):
+        while self._is_start_pending(attempt):
             link = self._owner.links.get(attempt.runner_id)
             if link is None:
                 return
@@ -110,7 +110,7 @@
                 await asyncio.sleep(self._settings.retry_s)
                 continue
             await self._owner.until_trusted()
-            if not self._wanted(attempt) or link.silent:
+            if not self._is_start_pending(attempt) or link.silent:
                 continue
             sent_at_s = boot_s()
             if not attempt.read_back and not attempt.sent_at_s:
@@ -141,12 +141,12 @@
                 # Either life of the runner may have answered.
                 reply = None
             if reply is not None and self._take_answer(attempt, link, reply, uncertain):
-                await self._watch_trial(attempt, link)
+                await self._check_probation(attempt, link)
                 return
             await asyncio.sleep(self._settings.retry_s)
 
     @staticmethod
-    def _wanted(attempt: Attempt) -> bool:
+    def _is_start_pending(attempt: Attempt) -> bool:
         return attempt in attempt.task.attempts and attempt.phase in (
             Phase.PLANNED,
             Phase.SENT,
@@ -206,7 +206,7 @@
         return True
 
     @staticmethod
-    async def _watch_trial(attempt: Attempt, link: RunnerLink) -> None:
+    async def _check_probation(attempt: Attempt, link: RunnerLink) -> None:
         """Ask the runner of a run on trial soon whether it has outlived the start.
 
         Its next list comes only after the wait of the hold that is open, by when a
@@ -214,7 +214,7 @@
         """
         if not attempt.task.suspect or attempt.phase is not Phase.CONFIRMED:
             return
-        await asyncio.sleep(TRIAL_LOOK_S)
+        await asyncio.sleep(PROBATION_CHECK_S)
         if attempt in attempt.task.attempts:
             await link.extend_once()
 
@@ -253,7 +253,7 @@
         if link is None:
             return True
         reply = await self._send_stop(
-            link, attempt.task.name, attempt.run, tell=not stop.uncertain
+            link, attempt.task.name, attempt.run, log_unanswered=not stop.uncertain
         )
         if reply is None or link.over:
             stop.uncertain = True
@@ -297,7 +297,7 @@
                 extra={"task": attempt.task.name, "error": str(error)},
             )
             if isinstance(error, OutcomeUnknownError):
-                attempt.pace_unanswered(boot_s() + LATEST_ORDER_S)
+                attempt.pace_unanswered(boot_s() + MAX_ORDER_DELAY_S)
             return
         if reply.refusal is Refusal.FENCED:
             self._owner.on_fenced(link)
@@ -316,7 +316,7 @@
         await self._send_stop(link, stray.task, stray.run)
 
     async def _send_stop(
-        self, link: RunnerLink, task: str, run: int, tell: bool = True
+        self, link: RunnerLink, task: str, run: int, log_unanswered: bool = True
     ) -> OrderReply | None:
         """Send a stop once; return None where it got no answer.
 
@@ -337,12 +337,12 @@
         except LifeOverError:
             self._end_life(link, "another life answered a stop")
         except (StoreUnavailableError, OutcomeUnknownError) as error:
-            if tell:
-                _tell_unanswered_stop(link, task, run, error)
+            if log_unanswered:
+                _log_unanswered_stop(link, task, run, error)
         return None
 
 
-def _tell_unanswered_stop(
+def _log_unanswered_stop(
     link: RunnerLink, task: str, run: int, error: StreamthreadError
 ) -> None:
     log.warning(
--- a/src/streamthread/scheduler/outcomes.py
+++ b/src/streamthread/scheduler/outcomes.py
@@ -57,7 +57,7 @@
         if attempt.phase is not Phase.STOPPING:
             attempt.phase = Phase.CONFIRMED
         attempt.confirmed_clock_ms = clock_ms
-        attempt.there_ms = attempt.there_ms or clock_ms
+        attempt.first_confirmed_ms = attempt.first_confirmed_ms or clock_ms
         runner = self._ledger.runners.get(attempt.runner_id)
         if runner is not None:
             runner.on_clock(clock_ms)
@@ -83,7 +83,7 @@
             },
         )
         self._ledger.remove(attempt, runner)
-        self._ledger.wait_again(task)
+        self._ledger.requeue(task)
         job = task.step.occurrence.job
         self._ledger.changed(job)
         self._ledger.settle_job(job)
@@ -101,7 +101,9 @@
         for key, attempt in list(runner.attempts.items()):
             row = listed.get(key)
             if row is not None:
-                attempt.there_ms = attempt.there_ms or reply.clock_ms
+                attempt.first_confirmed_ms = (
+                    attempt.first_confirmed_ms or reply.clock_ms
+                )
                 self._on_running(attempt, row.checkpoint, row.percent, row.usage)
                 self._ledger.stops.on_listed(attempt, reply.clock_ms)
             elif key not in ended_keys:
@@ -124,7 +126,7 @@
         attempt.usage = usage
         attempt.missing_since_ms = 0
         attempt.unlisted_since_s = 0.0
-        self._crashes.acquit_if_lived(attempt)
+        self._crashes.clear_crashes_if_stable(attempt)
         task = attempt.task
         if checkpoint and checkpoint != task.checkpoint:
             task.checkpoint = checkpoint
@@ -143,7 +145,7 @@
             "run-vanished",
             extra=_describe_missing(attempt, clock_ms),
         )
-        self._ledger.lapse(attempt, runner)
+        self._ledger.expire(attempt, runner)
 
     def _note_unlisted(self, attempt: Attempt, clock_ms: int) -> None:
         """Tell once of a run that is left though its runner has not listed it for long.
@@ -153,9 +155,9 @@
         now_s = boot_s()
         attempt.unlisted_since_s = attempt.unlisted_since_s or now_s
         since_s = attempt.unlisted_since_s
-        if attempt.unlisted_told or now_s - since_s < self._settings.unlisted_s:
+        if attempt.unlisted_logged or now_s - since_s < self._settings.unlisted_s:
             return
-        attempt.unlisted_told = True
+        attempt.unlisted_logged = True
         log.warning("run-unlisted", extra=_describe_missing(attempt, clock_ms))
 
     def _may_be_stopping(self, attempt: Attempt, clock_ms: int) -> bool:
@@ -184,15 +186,15 @@
             task.checkpoint = ended.checkpoint
         self._ledger.count(f"ended-{ended.kind.value}")
         if ended.kind in (EndKind.DONE, EndKind.FAILED):
-            self._crashes.acquit(task)
+            self._crashes.clear_crashes(task)
         if ended.kind is EndKind.DONE:
             self._on_done(attempt)
         else:
-            _tell_not_done(attempt, ended)
+            _log_run_ended(attempt, ended)
             if ended.kind is EndKind.FAILED:
                 self._on_failed(attempt, runner)
             else:
-                self._ledger.wait_again(task)
+                self._ledger.requeue(task)
         self._ledger.changed(job)
         self._ledger.settle_job(job)
 
@@ -216,7 +218,7 @@
             took_s = boot_s() - attempt.began_at_s
             self._times.learn(learning_key(task.step), took_s)
         if task.step.request.lasting:
-            self._ledger.wait_again(task)
+            self._ledger.requeue(task)
             return
         self._mark_done(task)
 
@@ -229,17 +231,17 @@
     def _on_failed(self, attempt: Attempt, runner: RunnerState) -> None:
         task = attempt.task
         job = task.step.occurrence.job
-        task.avoid.add(runner.life)
+        task.avoid.add(runner.incarnation)
         self.note_failure(runner)
         if task.step.request.lasting:
             task.not_before_s = time.time() + self._settings.restart_pause_s
-            self._ledger.wait_again(task)
+            self._ledger.requeue(task)
             return
         task.failures += 1
         if task.failures >= job.max_attempts and task.state is not TaskState.DONE:
             self._fail_job(task)
             return
-        self._ledger.wait_again(task)
+        self._ledger.requeue(task)
 
     def give_up(self, task: Task) -> None:
         """Start a task no more under which too many runners have ended."""
@@ -295,7 +297,7 @@
     }
 
 
-def _tell_not_done(attempt: Attempt, ended: EndedRun) -> None:
+def _log_run_ended(attempt: Attempt, ended: EndedRun) -> None:
     log.info(
         "run-ended",
         extra={
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -12,11 +12,11 @@
 from .model import Occurrence
 from .model import StepRun
 from .model import Task
-from .trials import open_to
-from .trials import trial_runners
+from .probation import accepts_job
+from .probation import probation_runners
 
 __all__ = [
-    "LargestRoom",
+    "LargestFreeCapacity",
     "Placement",
     "is_avoided",
     "order_steps",
@@ -26,7 +26,7 @@
     "urgency",
 ]
 
-URGENCY_KEPT_S = 0.3
+URGENCY_CACHE_S = 0.3
 """A step's urgency changes with learned run times and the time of day: slowly
 beside the slack of a second or more that jobs have."""
 
@@ -39,13 +39,13 @@
     runner: RunnerState
 
 
-AVOID_PATIENCE_S = 1.5
+AVOID_WAIT_S = 1.5
 """So long a failed task waits for room on a runner where it has not failed: about
 as long as a task runs."""
 
 
 @attrs.frozen
-class LargestRoom:
+class LargestFreeCapacity:
     """The most room that any one runner has, of each kind.
 
     Most steps of a long queue fit nowhere; this tells so without a look at each
@@ -57,7 +57,7 @@
     gpu: int = -1
 
     @classmethod
-    def among(cls, runners: t.Iterable[RunnerState]) -> "LargestRoom":
+    def among(cls, runners: t.Iterable[RunnerState]) -> "LargestFreeCapacity":
         """Return the largest room among runners; none of them: nothing fits."""
         cpu = memory_mb = gpu = -1
         for runner in runners:
@@ -70,7 +70,7 @@
         """Whether one task of a step may fit somewhere."""
         request = step.request
         return (
-            step.room_cpu <= self.cpu
+            step.reserved_cpu <= self.cpu
             and request.memory_mb <= self.memory_mb
             and request.gpu <= self.gpu
         )
@@ -120,14 +120,12 @@
     steps: t.Iterable[StepRun], times: RunTimes, now_s: float
 ) -> list[StepRun]:
     """Return the steps in the order in which they get room."""
-    return sorted(steps, key=lambda step: _remembered_urgency(step, times, now_s))
+    return sorted(steps, key=lambda step: _cached_urgency(step, times, now_s))
 
 
-def _remembered_urgency(
-    step: StepRun, times: RunTimes, now_s: float
-) -> tuple[t.Any, ...]:
+def _cached_urgency(step: StepRun, times: RunTimes, now_s: float) -> tuple[t.Any, ...]:
     """Return a step's urgency, worked out anew only now and then."""
-    if step.urgency is None or now_s - step.urgency_at_s > URGENCY_KEPT_S:
+    if step.urgency is None or now_s - step.urgency_at_s > URGENCY_CACHE_S:
         step.urgency = urgency(step, times, now_s)
         step.urgency_at_s = now_s
     return step.urgency
@@ -138,7 +136,7 @@
     runners: t.Sequence[RunnerState],
     now_s: float,
     tickets: t.Collection[str] | None = None,
-    most: int | None = None,
+    max_count: int | None = None,
 ) -> list[Placement]:
     """Return where the step's waiting tasks go, as far as there is room.
 
@@ -152,33 +150,33 @@
         return []
     if step.request.gang and len(waiting) < len(step.tasks) - step.done_count:
         return []
-    if most is not None and len(waiting) > most:
+    if max_count is not None and len(waiting) > max_count:
         if step.request.gang:
             return []
-        waiting = waiting[:most]
+        waiting = waiting[:max_count]
     suitable = [
         runner
         for runner in runners
         if suits(step, runner) and (tickets is None or runner.runner_id in tickets)
     ]
     if not step.request.lasting:
-        suitable = _sound(suitable, now_s)
+        suitable = _without_penalized(suitable, now_s)
     placed = _fill(step, waiting, suitable, now_s)
     if step.request.gang and len(placed) < len(waiting):
         return []
     return placed
 
 
-def _sound(runners: list[RunnerState], now_s: float) -> list[RunnerState]:
+def _without_penalized(runners: list[RunnerState], now_s: float) -> list[RunnerState]:
     """Leave out runners that failed much lately, while most others did not.
 
     A runner that fails all at once always has room, and would draw all work.
     """
-    sound = [runner for runner in runners if runner.penalty_until_s <= now_s]
-    return sound if 2 * len(sound) >= len(runners) else runners
+    healthy = [runner for runner in runners if runner.penalty_until_s <= now_s]
+    return healthy if 2 * len(healthy) >= len(runners) else runners
 
 
-def _may_go_back(task: Task, runner: RunnerState, runners: int) -> bool:
+def _may_run_on(task: Task, runner: RunnerState, runners: int) -> bool:
     """Whether a task may run on a runner, where it may have failed before."""
     if any(attempt.runner_id == runner.runner_id for attempt in task.attempts):
         return False
@@ -186,12 +184,12 @@
         return True
     if len(task.avoid) >= runners:
         return True
-    return boot_s() - task.waiting_since_s > AVOID_PATIENCE_S
+    return boot_s() - task.waiting_since_s > AVOID_WAIT_S
 
 
 def is_avoided(task: Task, runner: RunnerState) -> bool:
     """Whether a task failed, lagged behind or was silent in this life of a runner."""
-    return bool(task.avoid) and runner.life in task.avoid
+    return bool(task.avoid) and runner.incarnation in task.avoid
 
 
 def suits(step: StepRun, runner: RunnerState) -> bool:
@@ -209,15 +207,15 @@
     """Place a step's tasks, each on the runner with room that costs least."""
     there = _count_per_runner(step)
     job, clock_s = step.occurrence.job, boot_s()
-    open_ones = [runner for runner in runners if open_to(job, runner, clock_s)]
+    open_runners = [runner for runner in runners if accepts_job(job, runner, clock_s)]
     suspects = [task for task in waiting if task.suspect]
-    for_trial: list[RunnerState] = []
+    for_probation: list[RunnerState] = []
     if suspects:
         waits_since_s = min(task.waiting_since_s for task in suspects)
-        for_trial = trial_runners(job, runners, waits_since_s, clock_s)
+        for_probation = probation_runners(job, runners, waits_since_s, clock_s)
     if step.request.same_rack or suspects or any(task.avoid for task in waiting):
-        return _fill_one_by_one(waiting, open_ones, for_trial, there, now_s)
-    return _fill_in_order(waiting, open_ones, there, now_s)
+        return _fill_one_by_one(waiting, open_runners, for_probation, there, now_s)
+    return _fill_in_order(waiting, open_runners, there, now_s)
 
 
 def _fill_in_order(
@@ -231,7 +229,7 @@
     A runner that is the best for one task is so for the next, until it is full.
     """
     request = waiting[0].step.request
-    cpu = waiting[0].step.room_cpu
+    cpu = waiting[0].step.reserved_cpu
     fitting = [r for r in runners if r.fits(cpu, request.memory_mb, request.gpu)]
     fitting.sort(key=lambda runner: _cost(waiting[0], runner, 0, now_s, ()))
     placed: list[Placement] = []
@@ -250,7 +248,7 @@
 def _fill_one_by_one(
     waiting: t.Sequence[Task],
     runners: t.Sequence[RunnerState],
-    for_trial: t.Sequence[RunnerState],
+    for_probation: t.Sequence[RunnerState],
     there: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
@@ -261,7 +259,7 @@
     planned: collections.Counter[str] = collections.Counter()
     placed: list[Placement] = []
     for task in waiting:
-        usable = for_trial if task.suspect else runners
+        usable = for_probation if task.suspect else runners
         best = _best_runner(task, usable, there, planned, now_s, placed)
         if best is None:
             if not task.avoid and not task.suspect:
@@ -286,13 +284,13 @@
     :param planned: how many more it gets by this call.
     """
     request = task.step.request
-    cpu = task.step.room_cpu
+    cpu = task.step.reserved_cpu
     limit = request.most_per_runner
     best: RunnerState | None = None
     best_cost: tuple[t.Any, ...] = ()
     for runner in runners:
         count = planned[runner.runner_id]
-        if not _may_go_back(task, runner, len(runners)):
+        if not _may_run_on(task, runner, len(runners)):
             continue
         if limit and there[runner.runner_id] + count >= limit:
             continue
@@ -326,10 +324,10 @@
     A suspect task goes with those of its job, and where the least is lost with it.
     """
     request = task.step.request
-    unsound = runner.penalty_until_s > now_s or is_avoided(task, runner)
+    unhealthy = runner.penalty_until_s > now_s or is_avoided(task, runner)
     far = bool(request.near_rack) and request.near_rack != runner.rack
     split = bool(request.same_rack and placed and placed[0].runner.rack != runner.rack)
     if task.suspect:
         apart = not any(placement.runner is runner for placement in placed)
-        return (unsound, far, split, apart, len(runner.attempts))
-    return (unsound, far, split, runner.free_cpu - planned_cpu)
+        return (unhealthy, far, split, apart, len(runner.attempts))
+    return (unhealthy, far, split, runner.free_cpu - planned_cpu)
--- a/src/streamthread/scheduler/trials.py
+++ b/src/streamthread/scheduler/probation.py
@@ -9,30 +9,36 @@
 from .model import Phase
 from .model import Task
 
-__all__ = ["SAME_MOMENT_S", "TRIAL_S", "begin_trial", "open_to", "trial_runners"]
-
-SAME_MOMENT_S = 0.1
+__all__ = [
+    "PROBATION_S",
+    "SIMULTANEOUS_START_S",
+    "accepts_job",
+    "begin_probation",
+    "probation_runners",
+]
+
+SIMULTANEOUS_START_S = 0.1
 """Starts that went to a runner so close together are not told apart by its end: that
 comes some 10 ms after the start that brought it about, and is seen 50 ms later."""
 
-TRIAL_S = 0.5
+PROBATION_S = 0.5
 """A runner gets nothing else for so long after the start of a task on trial: what ends
 its runners has done so by then. Without it, three tasks at fault among nine that came
 together had one of the others given up in two runs of three."""
 
-MOST_ON_TRIAL = 0.5
+MAX_PROBATION_SHARE = 0.5
 """At most this share of a pool's runners is on trial at a time, so that the others'
 work goes on."""
 
 
-PATIENCE_S = 1.0
+MAX_PROBATION_WAIT_S = 1.0
 """A task on trial that has waited for so long goes wherever no trial is under way and
 no other suspect is being started, and begins no trial. Many come at once where a runner
 ends just after a store has come back; one after the other they would wait for longer
 than the 3 s in which a job is to run."""
 
 
-def open_to(job: Job, runner: RunnerState, now_s: float) -> bool:
+def accepts_job(job: Job, runner: RunnerState, now_s: float) -> bool:
     """Whether a runner is not on trial with another job's task.
 
     :param now_s: on the boot clock.
@@ -40,7 +46,7 @@
     return runner.probation_until_s <= now_s or runner.probation_job is job
 
 
-def begin_trial(task: Task, runner: RunnerState) -> None:
+def begin_probation(task: Task, runner: RunnerState) -> None:
     """Keep a runner for a task on trial until it has shown what it does.
 
     One that has waited for too long keeps nobody off, so that others need not wait.
@@ -49,14 +55,14 @@
     if _has_waited(task.waiting_since_s, now_s):
         return
     runner.probation_job = task.step.occurrence.job
-    runner.probation_until_s = now_s + TRIAL_S
+    runner.probation_until_s = now_s + PROBATION_S
 
 
 def _has_waited(since_s: float, now_s: float) -> bool:
-    return now_s - since_s > PATIENCE_S
+    return now_s - since_s > MAX_PROBATION_WAIT_S
 
 
-def trial_runners(
+def probation_runners(
     job: Job,
     runners: t.Sequence[RunnerState],
     waits_since_s: float,
@@ -67,20 +73,20 @@
     :param waits_since_s: on the boot clock: since when the first of them waits.
     :param now_s: on the boot clock.
     """
-    open_ones = [runner for runner in runners if open_to(job, runner, now_s)]
+    open_runners = [runner for runner in runners if accepts_job(job, runner, now_s)]
     if _has_waited(waits_since_s, now_s):
-        return [r for r in open_ones if not _starts_suspects(job, r, now_s)]
-    on_trial = sum(runner.probation_until_s > now_s for runner in runners)
-    most = max(1, int(len(runners) * MOST_ON_TRIAL))
+        return [r for r in open_runners if not _is_starting_suspects(job, r, now_s)]
+    on_probation = sum(runner.probation_until_s > now_s for runner in runners)
+    max_count = max(1, int(len(runners) * MAX_PROBATION_SHARE))
     return [
         runner
-        for runner in open_ones
-        if (on_trial < most or runner.probation_until_s > now_s)
-        and not _starts_others(job, runner, now_s)
+        for runner in open_runners
+        if (on_probation < max_count or runner.probation_until_s > now_s)
+        and not _is_starting_others(job, runner, now_s)
     ]
 
 
-def _starts_others(job: Job, runner: RunnerState, now_s: float) -> bool:
+def _is_starting_others(job: Job, runner: RunnerState, now_s: float) -> bool:
     """Whether a runner has tasks of other jobs whose own start may yet end it."""
     return any(
         attempt.task.suspect or _is_starting(attempt, now_s)
@@ -88,7 +94,7 @@
     )
 
 
-def _starts_suspects(job: Job, runner: RunnerState, now_s: float) -> bool:
+def _is_starting_suspects(job: Job, runner: RunnerState, now_s: float) -> bool:
     """Whether an end of a runner would be laid to suspects of other jobs as well.
 
     Tried together again and again, the tasks beside the one at fault would be given up
@@ -109,4 +115,4 @@
 def _is_starting(attempt: Attempt, now_s: float) -> bool:
     """Whether what is sent now can't be told apart from an attempt by an end."""
     planned = attempt.phase is Phase.PLANNED
-    return planned or attempt.sent_at_s > now_s - SAME_MOMENT_S
+    return planned or attempt.sent_at_s > now_s - SIMULTANEOUS_START_S
--- a/src/streamthread/scheduler/progress.py
+++ b/src/streamthread/scheduler/progress.py
@@ -7,15 +7,15 @@
 from .model import Attempt
 from .model import Phase
 
-__all__ = ["Lag", "ProgressSettings", "judge_progress"]
+__all__ = ["Lag", "ProgressSettings", "detect_lag"]
 
-WHOLE_PERCENT = 100.0
+COMPLETE_PERCENT = 100.0
 
 
 class Lag(enum.Enum):
     """Why a run is better done elsewhere; the values are in the logs."""
 
-    STANDS_STILL = "stands-still"
+    STALLED = "stands-still"
     SLOW = "slow"
 
 
@@ -39,7 +39,7 @@
     most_moves: int = 2
 
 
-def judge_progress(
+def detect_lag(
     attempt: Attempt, expected_s: float | None, settings: ProgressSettings
 ) -> Lag | None:
     """Return why a run lags behind, or None: it does not, or is not known to.
@@ -49,24 +49,24 @@
     :param expected_s: how long such a run takes on a sound runner, where that was
         learned; what callers estimate is too far off.
     """
-    if not _is_judged(attempt):
+    if not _is_monitored(attempt):
         return None
-    watched_s = attempt.seen_at_s - attempt.first_seen_at_s
-    if watched_s < settings.judge_s:
+    observed_s = attempt.seen_at_s - attempt.first_seen_at_s
+    if observed_s < settings.judge_s:
         return None
-    if attempt.seen_at_s - attempt.moved_on_at_s >= settings.still_s:
-        return Lag.STANDS_STILL
+    if attempt.seen_at_s - attempt.progress_changed_at_s >= settings.still_s:
+        return Lag.STALLED
     done = attempt.percent - attempt.first_percent
     if done <= 0 or expected_s is None or attempt.task.step.request.near_rack:
         # Away from its data a run is slow for a good reason.
         return None
-    left_s = (WHOLE_PERCENT - attempt.percent) * watched_s / done
+    left_s = (COMPLETE_PERCENT - attempt.percent) * observed_s / done
     if left_s > settings.slow_factor * expected_s + settings.slow_extra_s:
         return Lag.SLOW
     return None
 
 
-def _is_judged(attempt: Attempt) -> bool:
+def _is_monitored(attempt: Attempt) -> bool:
     """Whether a run goes on by itself, at full speed: others wait or yield."""
     request = attempt.task.step.request
     if request.gang or request.lasting or request.fills:
--- a/src/streamthread/scheduler/stops.py
+++ b/src/streamthread/scheduler/stops.py
@@ -33,32 +33,32 @@
     def __init__(self, effect_ms: int) -> None:
         self._effect_ms = effect_ms
         self._to_send: list[Attempt] = []
-        self._wanted: set[Attempt] = set()
-        self._told: set[Stop] = set()
+        self._stopping: set[Attempt] = set()
+        self._logged_overdue: set[Stop] = set()
 
     @property
     def count(self) -> int:
         """How many runs are to be stopped."""
-        return len(self._wanted)
+        return len(self._stopping)
 
     @property
     def waiting(self) -> bool:
         """Whether there are stops that nobody has taken to send them."""
         return bool(self._to_send)
 
-    def want(self, attempt: Attempt, reason: str) -> None:
+    def request_stop(self, attempt: Attempt, reason: str) -> None:
         """Have a run stopped."""
         if attempt.stop is not None:
             return
-        attempt.be_stopped(reason)
-        self._wanted.add(attempt)
+        attempt.mark_stopping(reason)
+        self._stopping.add(attempt)
         self._queue(attempt)
         log.info("run-to-stop", extra=_describe(attempt))
 
-    def want_anew(self, attempt: Attempt, reason: str) -> None:
+    def request_stop_again(self, attempt: Attempt, reason: str) -> None:
         """Have a run stopped whose runner has started again and knows of no stop."""
         if attempt.stop is None:
-            self.want(attempt, reason)
+            self.request_stop(attempt, reason)
             return
         attempt.stop.answered_ms = 0
         if not attempt.stop.under_way:
@@ -67,11 +67,11 @@
     def read_back(self, attempt: Attempt) -> None:
         """Take a run of an earlier holder; who sees its runner sends the stop."""
         if attempt.stop is not None:
-            self._wanted.add(attempt)
+            self._stopping.add(attempt)
 
     def forget(self, attempt: Attempt) -> None:
         """Take it that a run is over."""
-        self._wanted.discard(attempt)
+        self._stopping.discard(attempt)
 
     def _queue(self, attempt: Attempt) -> None:
         assert attempt.stop is not None
@@ -99,8 +99,8 @@
         if attempt.must_end or stop.uncertain:
             self._queue(attempt)
         else:
-            attempt.go_on()
-            self._wanted.discard(attempt)
+            attempt.cancel_stop()
+            self._stopping.discard(attempt)
 
     def on_missing(self, attempt: Attempt) -> None:
         """Take it that a runner does not list a run.
@@ -124,20 +124,20 @@
     @property
     def overdue(self) -> int:
         """How many runs had been to be stopped for too long, at the last look."""
-        return len(self._told)
+        return len(self._logged_overdue)
 
-    def tell_overdue(self) -> None:
+    def log_overdue(self) -> None:
         """Tell of each run that has been to be stopped for too long, once."""
         since_s = boot_s() - OVERDUE_S
         overdue = {
             attempt.stop: attempt
-            for attempt in self._wanted
+            for attempt in self._stopping
             if attempt.stop is not None and attempt.stop.since_s < since_s
         }
         for stop, attempt in overdue.items():
-            if stop not in self._told:
+            if stop not in self._logged_overdue:
                 log.warning("stop-overdue", extra=_describe(attempt))
-        self._told = set(overdue)
+        self._logged_overdue = set(overdue)
 
 
 def _describe(attempt: Attempt) -> dict[str, t.Any]:
--- a/src/streamthread/scheduler/tests/test_accounts.py
+++ b/src/streamthread/scheduler/tests/test_accounts.py
@@ -182,7 +182,7 @@
 )
 
 
-class _Play(_Cell):
+class _Scenario(_Cell):
     """Carries out random events, and the take-over of the cell among them."""
 
     def carry_out(self, what: str, pick: int, count: int) -> None:
@@ -222,10 +222,10 @@
     events: list[tuple[str, int, int]],
 ) -> None:
     """Whatever happens, and whoever holds the cell, no account is over its limit."""
-    play = _Play(ann=Limit(cpu=900), bob=Limit(cpu=500, memory_mb=40))
+    scenario = _Scenario(ann=Limit(cpu=900), bob=Limit(cpu=500, memory_mb=40))
     for event in events:
-        play.carry_out(*event)
+        scenario.carry_out(*event)
         for account in ACCOUNTS:
-            summed = play.summed(account)
-            assert play.engine.accounts.of(account) == summed
-            assert play.limits[account].allows(summed.cpu, summed.memory_mb, 0)
+            summed = scenario.summed(account)
+            assert scenario.engine.accounts.of(account) == summed
+            assert scenario.limits[account].allows(summed.cpu, summed.memory_mb, 0)
--- a/src/streamthread/scheduler/tests/test_crashes.py
+++ b/src/streamthread/scheduler/tests/test_crashes.py
@@ -28,7 +28,7 @@
 
 BODY = b'{"spec":"x","steps":[{"count":1,"cpu":1000,"memMb":1}]}'
 
-MOST_STARTS = 5
+MAX_STARTS = 5
 """After the third runner, two starts more are borne (the users' pages)."""
 
 
@@ -39,7 +39,7 @@
         self.now_s = 1000.0
         patch.setattr(time, "clock_gettime", lambda clock: self.now_s)
         self.engine = Engine(lambda job: None)
-        self.lives = 0
+        self.incarnations = 0
         self.starts = 0
         for number in range(jobs):
             self.add_job(f"{number:016x}")
@@ -56,8 +56,8 @@
         return job
 
     def new_runner(self) -> RunnerState:
-        self.lives += 1
-        name = f"i-{self.lives}"
+        self.incarnations += 1
+        name = f"i-{self.incarnations}"
         runner = RunnerState(name, "desk", "x:1", "z", ("a", "r"), 4000, 100, 0)
         runner.ready = True
         self.engine.add_runner(runner)
@@ -97,7 +97,7 @@
         ]
         self.engine.on_hold(runner, HoldReply(clock_ms, tuple(rows), ()))
 
-    def play_fault(self, placed: t.Sequence[Attempt]) -> None:
+    def crash_faulty_runner(self, placed: t.Sequence[Attempt]) -> None:
         """End the runner that has just been given the task at fault."""
         for attempt in placed:
             if self.is_at_fault(attempt):
@@ -128,7 +128,7 @@
         with pytest.MonkeyPatch.context() as patch:
             cell = _Cell(patch, jobs=6, runners=4)
             for turn in range(40):
-                cell.play_fault(cell.place())
+                cell.crash_faulty_runner(cell.place())
                 cell.now_s += data.draw(st.sampled_from([0.05, 0.3, 0.7]))
                 if turn % 3 == 0:
                     cell.add_job(f"{turn + 100:016x}")
@@ -138,17 +138,17 @@
                 if not any(map(cell.is_at_fault, state.attempts.values())):
                     cell.finish(state)
             assert cell.at_fault.failed
-            assert cell.starts <= MOST_STARTS
+            assert cell.starts <= MAX_STARTS
             others = [j for j in cell.engine.jobs.values() if j is not cell.at_fault]
             assert not any(job.failed for job in others)
 
     def test_is_counted_on_by_the_next_holder(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=3)
-        cell.play_fault(cell.place())
+        cell.crash_faulty_runner(cell.place())
         next_one = _next_holder(cell, patch, runners=3)
         while not next_one.at_fault.failed:
             next_one.now_s += 1.0
-            next_one.play_fault(next_one.place())
+            next_one.crash_faulty_runner(next_one.place())
         assert next_one.starts == 2
 
     def test_is_given_up_where_no_holder_saw_it_start(
@@ -156,7 +156,7 @@
     ) -> None:
         """Each holder ends as well; the next finds a run on a runner that is gone."""
         cell = _Cell(patch, jobs=1, runners=2)
-        for _ in range(MOST_STARTS - 1):
+        for _ in range(MAX_STARTS - 1):
             placed = cell.place()
             assert len(placed) == 1
             cell = _next_holder(cell, patch, runners=2)
@@ -168,7 +168,7 @@
         self, patch: pytest.MonkeyPatch
     ) -> None:
         cell = _Cell(patch, jobs=1, runners=3)
-        for _ in range(MOST_STARTS - 1):
+        for _ in range(MAX_STARTS - 1):
             (attempt,) = cell.place()
             cell.now_s += 1.2
             cell.end(cell.engine.runners[attempt.runner_id], hung=True)
@@ -179,7 +179,7 @@
     def _lose_twice_more(self, cell: _Cell) -> None:
         for _ in range(2):
             cell.now_s += 1.0
-            cell.play_fault(cell.place())
+            cell.crash_faulty_runner(cell.place())
 
     def test_a_runner_that_drains(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=4)
@@ -256,12 +256,12 @@
         """Guards against a job that fails for the third of many ends by chance."""
         cell = _Cell(patch, jobs=1, runners=6)
         for _ in range(3):
-            cell.play_fault(cell.place())
+            cell.crash_faulty_runner(cell.place())
             cell.now_s += 1.0
             for runner in list(cell.engine.runners.values())[:2]:
                 cell.end(runner)
         assert not cell.at_fault.failed
-        cell.play_fault(cell.place())
+        cell.crash_faulty_runner(cell.place())
         assert cell.at_fault.failed
 
     def test_are_counted_of_those_that_an_earlier_holder_had(
@@ -275,7 +275,7 @@
             if number == 2:
                 for job in others:
                     self._lose_unseen(cell, job)
-            cell.play_fault(cell.place())
+            cell.crash_faulty_runner(cell.place())
         assert cell.at_fault.failed
 
     @staticmethod
@@ -294,8 +294,8 @@
             assert not cell.at_fault.failed
             placed = cell.place()
             if number == 2:
-                placed[0].there_ms = 0
-            cell.play_fault(placed)
+                placed[0].first_confirmed_ms = 0
+            cell.crash_faulty_runner(placed)
             cell.now_s += 1.0
         assert cell.at_fault.failed
 
@@ -307,7 +307,7 @@
             cell.end(runner)
         cell.now_s += 11.0
         for _ in range(3):
-            cell.play_fault(cell.place())
+            cell.crash_faulty_runner(cell.place())
             cell.now_s += 1.0
         assert cell.at_fault.failed
 
@@ -319,7 +319,7 @@
         shown, unshown = cell.place()
         runner = cell.engine.runners[shown.runner_id]
         row = RunningTask(shown.task.name, shown.run, "", 9)
-        unshown.confirmed_clock_ms = unshown.there_ms = 101
+        unshown.confirmed_clock_ms = unshown.first_confirmed_ms = 101
         cell.engine.on_hold(runner, HoldReply(101, (row,), ()))
         cell.end(runner)
         assert (shown.task.lost_runners, unshown.task.crashes) == (0, 1)
@@ -348,7 +348,7 @@
 class TestTrial:
     def test_keeps_others_off_its_runner(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=2)
-        cell.play_fault(cell.place())
+        cell.crash_faulty_runner(cell.place())
         cell.now_s += 1.0
         (tried,) = cell.place()
         cell.add_job("f" * 16)
@@ -361,7 +361,7 @@
         cell = _Cell(patch, jobs=4, runners=4)
         placed = cell.place()
         assert len({attempt.runner_id for attempt in placed}) == 1
-        cell.play_fault(placed)
+        cell.crash_faulty_runner(placed)
         cell.now_s += 1.0
         assert len(cell.place()) == 2
 
@@ -390,7 +390,7 @@
         cell = _Cell(patch, jobs=3, runners=1)
         for job in cell.engine.jobs.values():
             for task in job.occurrences[0].steps[0].tasks:
-                task.crashes, task.on_trial = 2, True
+                task.crashes, task.on_probation = 2, True
         cell.now_s += 5.0
         (first,) = cell.place()
         cell.now_s += 0.05
@@ -407,7 +407,7 @@
         gang = Job("9" * 16, "r", "desk", JobRequest("x", (step,)), BODY, time.time())
         gang.begin(0)
         for task in gang.occurrences[0].steps[0].tasks:
-            task.on_trial = True
+            task.on_probation = True
         cell.engine.add(gang)
         assert len(cell.place()) == 1
         assert all(not r.probation_until_s for r in cell.engine.runners.values())
--- a/src/streamthread/scheduler/tests/test_ends_listed_again.py
+++ b/src/streamthread/scheduler/tests/test_ends_listed_again.py
@@ -45,7 +45,7 @@
     def test_leaves_a_lasting_task_to_be_started_again(self) -> None:
         job = _end_twice(lasting=True)
         assert job.state is JobState.RUNNING
-        assert job.occurrences[0].steps[0].tasks[0].wants_attempt
+        assert job.occurrences[0].steps[0].tasks[0].needs_attempt
 
     def test_leaves_other_tasks_done(self) -> None:
         assert _end_twice(lasting=False).state is JobState.COMPLETED
--- a/src/streamthread/scheduler/tests/test_engine.py
+++ b/src/streamthread/scheduler/tests/test_engine.py
@@ -50,18 +50,18 @@
         self.engine.begin_due(time.time())
         self.seen: set[tuple[str, int]] = set()
         self.ended = 0
-        self.lives = 0
+        self.incarnations = 0
         for _ in range(2):
             self.new_runner()
 
     def new_runner(self) -> None:
-        self.engine.add_runner(self.new_life(f"i-{self.lives + 1}"))
+        self.engine.add_runner(self.new_incarnation(f"i-{self.incarnations + 1}"))
 
-    def new_life(self, runner_id: str) -> RunnerState:
-        self.lives += 1
+    def new_incarnation(self, runner_id: str) -> RunnerState:
+        self.incarnations += 1
         runner = RunnerState(runner_id, "desk", "x:1", "z", ("a", "r"), 4000, 100, 0)
         runner.ready = True
-        runner.born_ms = self.lives
+        runner.born_ms = self.incarnations
         return runner
 
     def attempts(self) -> list[Attempt]:
@@ -119,8 +119,8 @@
     def restart_runner(self, data: t.Any) -> None:
         """The next life lists nothing; what may have come to it is to be stopped."""
         runner_id = data.draw(st.sampled_from(sorted(self.engine.runners)))
-        before, after = self.engine.runners[runner_id], self.new_life(runner_id)
-        certain = [a for a in before.attempts.values() if a.dies_with_life]
+        before, after = self.engine.runners[runner_id], self.new_incarnation(runner_id)
+        certain = [a for a in before.attempts.values() if a.ends_with_incarnation]
         self.engine.runner_restarted(before, after)
         assert not any(attempt in attempt.task.attempts for attempt in certain)
         assert all(a.phase is Phase.STOPPING for a in after.attempts.values())
@@ -143,9 +143,9 @@
         engine = Engine(lambda job: None)
         engine.add(job)
         for before in runners:
-            runner = self.new_life(before.runner_id)
+            runner = self.new_incarnation(before.runner_id)
             # One of them has started again while nobody held it.
-            if self.lives % 2:
+            if self.incarnations % 2:
                 runner.born_ms = before.born_ms
             engine.add_runner(runner)
         engine.begin_due(time.time())
--- a/src/streamthread/scheduler/tests/test_placement.py
+++ b/src/streamthread/scheduler/tests/test_placement.py
@@ -9,7 +9,7 @@
 from streamthread.platform.callers import JobRequest
 from streamthread.platform.callers import StepRequest
 from streamthread.scheduler import Job
-from streamthread.scheduler import RunnerLife
+from streamthread.scheduler import RunnerIncarnation
 from streamthread.scheduler import RunnerState
 from streamthread.scheduler.placement import place_step
 
@@ -89,7 +89,7 @@
     def test_a_failed_task_waits_for_room_on_another_runner(self) -> None:
         step = StepRequest(count=1, cpu=10)
         run = _job(step).occurrences[0].steps[0]
-        run.tasks[0].avoid.add(RunnerLife("i-1"))
+        run.tasks[0].avoid.add(RunnerIncarnation("i-1"))
         failing, full = _runner(1, 100, 10, ("a",)), _runner(2, 0, 10, ("a",))
         assert place_step(run, [failing, full], time.time()) == []
         run.tasks[0].waiting_since_s -= 60.0
@@ -99,16 +99,16 @@
     def test_a_failed_task_goes_back_where_there_is_no_other_runner(self) -> None:
         step = StepRequest(count=1, cpu=10)
         run = _job(step).occurrences[0].steps[0]
-        run.tasks[0].avoid.add(RunnerLife("i-1"))
+        run.tasks[0].avoid.add(RunnerIncarnation("i-1"))
         (placement,) = place_step(run, [_runner(1, 100, 10, ("a",))], time.time())
         assert placement.runner.runner_id == "i-1"
 
     def test_one_that_fails_much_gets_nothing_while_most_are_sound(self) -> None:
         step = StepRequest(count=2, cpu=10)
         run = _job(step).occurrences[0].steps[0]
-        sick, sound = _runner(1, 100, 10, ("a",)), _runner(2, 10, 10, ("a",))
+        sick, healthy = _runner(1, 100, 10, ("a",)), _runner(2, 10, 10, ("a",))
         sick.penalty_until_s = time.time() + 60
-        placed = place_step(run, [sick, sound], time.time())
-        assert [p.runner for p in placed] == [sound]
-        sound.penalty_until_s = time.time() + 60
-        assert len(place_step(run, [sick, sound], time.time())) == 2
+        placed = place_step(run, [sick, healthy], time.time())
+        assert [p.runner for p in placed] == [healthy]
+        healthy.penalty_until_s = time.time() + 60
+        assert len(place_step(run, [sick, healthy], time.time())) == 2
--- a/src/streamthread/scheduler/tests/test_progress.py
+++ b/src/streamthread/scheduler/tests/test_progress.py
@@ -17,7 +17,7 @@
 from streamthread.scheduler import Job
 from streamthread.scheduler import Phase
 from streamthread.scheduler import RunnerState
-from streamthread.scheduler.progress import judge_progress
+from streamthread.scheduler.progress import detect_lag
 from streamthread.scheduler.progress import Lag
 from streamthread.scheduler.progress import ProgressSettings
 
@@ -42,35 +42,35 @@
 class TestJudgement:
     def test_leaves_alone_what_goes_on(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 40), (1.6, 80)])
-        assert judge_progress(attempt, 2.0, SETTINGS) is None
+        assert detect_lag(attempt, 2.0, SETTINGS) is None
 
     def test_leaves_alone_the_longest_of_a_kind(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 32)])
-        assert judge_progress(attempt, 1.0, SETTINGS) is None
+        assert detect_lag(attempt, 1.0, SETTINGS) is None
 
     def test_finds_what_stands_still(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 20), (1.6, 20), (2.4, 20)])
-        assert judge_progress(attempt, 5.0, SETTINGS) is Lag.STANDS_STILL
+        assert detect_lag(attempt, 5.0, SETTINGS) is Lag.STALLED
 
     def test_finds_what_never_began(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 0), (1.6, 0)])
-        assert judge_progress(attempt, None, SETTINGS) is Lag.STANDS_STILL
+        assert detect_lag(attempt, None, SETTINGS) is Lag.STALLED
 
     def test_finds_what_is_many_times_slower(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 10)])
-        assert judge_progress(attempt, 1.0, SETTINGS) is Lag.SLOW
+        assert detect_lag(attempt, 1.0, SETTINGS) is Lag.SLOW
 
     def test_does_not_trust_estimates(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 10)])
-        assert judge_progress(attempt, None, SETTINGS) is None
+        assert detect_lag(attempt, None, SETTINGS) is None
 
     def test_waits_for_a_second_list(self) -> None:
-        assert judge_progress(_attempt([(0, 0)]), 1.0, SETTINGS) is None
+        assert detect_lag(_attempt([(0, 0)]), 1.0, SETTINGS) is None
 
     @pytest.mark.parametrize("kind", ["gang", "lasting", "fills"])
     def test_leaves_alone_what_waits_or_yields(self, kind: str) -> None:
         attempt = _attempt([(0, 0), (2, 0)], **{kind: True})
-        assert judge_progress(attempt, 1.0, SETTINGS) is None
+        assert detect_lag(attempt, 1.0, SETTINGS) is None
 
 
 class _Pool:
@@ -96,7 +96,7 @@
     def place(self) -> list[Attempt]:
         return self.engine.place_all(time.time(), lambda step: None)
 
-    def stand_still(self) -> None:
+    def stall(self) -> None:
         now_s = boot_s()
         for ago_s in (3.0, 1.5, 0.0):
             self.first.note_progress(7, now_s - ago_s)
@@ -116,7 +116,7 @@
 class TestMoves:
     def test_stop_a_run_that_stands_still_and_run_it_elsewhere(self) -> None:
         pool = _Pool()
-        pool.stand_still()
+        pool.stall()
         assert pool.engine.handle_lagging_runs()
         assert pool.engine.take_stops() == [pool.first]
         assert pool.place() == [], "not before the first run has ended"
@@ -129,7 +129,7 @@
         pool = _Pool()
         other = next(r for r in pool.engine.runners if r != pool.first.runner_id)
         pool.engine.runners[other].ready = False
-        pool.stand_still()
+        pool.stall()
         assert not pool.engine.handle_lagging_runs()
         assert pool.engine.take_stops() == []
 
@@ -138,7 +138,7 @@
         for runner in pool.engine.runners.values():
             if runner.runner_id != pool.first.runner_id:
                 runner.labels = ("b", "r")
-        pool.stand_still()
+        pool.stall()
         assert not pool.engine.handle_lagging_runs()
 
 
@@ -157,7 +157,7 @@
         pool = _Pool(speculative=True)
         other = next(r for r in pool.engine.runners if r != pool.first.runner_id)
         pool.engine.runners[other].ready = False
-        pool.stand_still()
+        pool.stall()
         assert pool.engine.handle_lagging_runs()
         pool.first.task.waiting_since_s -= 60.0
         assert pool.place() == []
@@ -173,7 +173,7 @@
 
     def test_stop_the_other_run_when_one_is_done(self) -> None:
         pool = _Pool(speculative=True)
-        pool.stand_still()
+        pool.stall()
         assert pool.engine.handle_lagging_runs()
         (copy,) = pool.place()
         pool.end(copy, EndKind.DONE, 1)
@@ -183,7 +183,7 @@
 
     def test_leave_one_run_when_the_other_fails(self) -> None:
         pool = _Pool(speculative=True)
-        pool.stand_still()
+        pool.stall()
         assert pool.engine.handle_lagging_runs()
         (copy,) = pool.place()
         pool.end(copy, EndKind.FAILED, 1)
--- a/src/streamthread/scheduler/tests/test_restarts.py
+++ b/src/streamthread/scheduler/tests/test_restarts.py
@@ -76,7 +76,7 @@
         assert not after.attempts
         assert after.free_cpu == after.cpu
         assert all(not task.attempts for task in _tasks(cell.job))
-        assert all(task.wants_attempt for task in _tasks(cell.job))
+        assert all(task.needs_attempt for task in _tasks(cell.job))
 
     def test_is_sent_nothing_that_was_only_planned(self, cell: _Cell) -> None:
         after = cell.restart()
@@ -100,18 +100,18 @@
             attempt.stop.answered_ms = attempt.confirmed_clock_ms = 100
         cell.engine.on_hold(after, HoldReply(200, (), ()))
         assert not after.attempts
-        assert all(task.wants_attempt for task in _tasks(cell.job))
+        assert all(task.needs_attempt for task in _tasks(cell.job))
 
     def test_ends_are_laid_to_a_run_once(self, cell: _Cell) -> None:
         """A run that waits for its stop has not started on the lives that follow."""
         for attempt in cell.attempts:
             attempt.phase = Phase.SENT
             attempt.sent_at_s = boot_s()
-        life = cell.before
+        incarnation = cell.before
         for number in range(1, 5):
             after = _runner("i-1", BORN_MS + number)
-            cell.engine.runner_restarted(life, after)
-            life = after
+            cell.engine.runner_restarted(incarnation, after)
+            incarnation = after
         assert [task.crashes for task in _tasks(cell.job)] == [1, 1, 1]
         assert not cell.job.failed
 
@@ -142,7 +142,7 @@
 
     def test_may_get_a_task_that_failed_in_its_former_life(self, cell: _Cell) -> None:
         (task, *_) = _tasks(cell.job)
-        task.avoid.add(cell.before.life)
+        task.avoid.add(cell.before.incarnation)
         assert is_avoided(task, cell.before)
         assert not is_avoided(task, cell.restart())
 
--- a/src/streamthread/scheduler/tests/test_stops_of_attempts.py
+++ b/src/streamthread/scheduler/tests/test_stops_of_attempts.py
@@ -16,7 +16,7 @@
         job.cancelled = True
         job.ended_at_s = time.time()
         for attempt in job.attempts():
-            attempt.be_stopped("read-back")
+            attempt.mark_stopping("read-back")
         engine = Engine(lambda job: None)
         engine.add(job)
         assert engine.stops.count == 2
--- a/src/streamthread/scheduler/tests/test_unreached_starts.py
+++ b/src/streamthread/scheduler/tests/test_unreached_starts.py
@@ -78,7 +78,7 @@
         """Guards against jobs that fail for ends before their tasks were started."""
         task = await _start(LifeOverError())
         assert task.lost_runners == 0
-        assert task.wants_attempt
+        assert task.needs_attempt
 
     @pytest.mark.parametrize("tries", [1, 2])
     async def test_counts_where_an_earlier_try_may_have_begun(self, tries: int) -> None:
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -181,7 +181,7 @@
     Guard(
         "ends-of-runners-are-laid-to-tasks",
         "scheduler/engine.py",
-        "        given_up = self._crashes.settle(runner)\n",
+        "        given_up = self._crashes.attribute_exit(runner)\n",
         "        given_up: list[Task] = []\n",
         ("tests/cell/test_crashing_tasks.py::TestTaskThatCrashesRunners",),
     ),
@@ -201,16 +201,16 @@
     ),
     Guard(
         "trials-run-apart",
-        "scheduler/trials.py",
+        "scheduler/probation.py",
         "    return runner.probation_until_s <= now_s or runner.probation_job is job\n",
         "    return True\n",
         (f"{CRASHES}::TestTrial",),
     ),
     Guard(
         "suspects-start-apart",
-        "scheduler/trials.py",
-        "[r for r in open_ones if not _starts_suspects(job, r, now_s)]",
-        "open_ones",
+        "scheduler/probation.py",
+        "[r for r in open_runners if not _is_starting_suspects(job, r, now_s)]",
+        "open_runners",
         (f"{CRASHES}::TestTrial",),
     ),
     Guard(
@@ -223,8 +223,8 @@
     Guard(
         "unsteady-pools-ask-for-more",
         "scheduler/crashes.py",
-        "verdict.at_start and verdict.one_job_there and steady",
-        "verdict.at_start and verdict.one_job_there",
+        "attribution.at_start and attribution.one_job_there and stable",
+        "attribution.at_start and attribution.one_job_there",
         (f"{CRASHES}::TestRunnersThatLivedOn",),
     ),
     Guard(
