--- a/src/streamthread/scheduler/model.py
+++ b/src/streamthread/scheduler/model.py
@@ -30,7 +30,7 @@
 
 
 class JobState(enum.Enum):
-    """What a caller is told of a job; the values are on the wire."""
+    """The state of a job as reported to callers; the values are on the wire."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -40,7 +40,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task stands."""
+    """The state of a task."""
 
     WAITING = "waiting"
     PLACED = "placed"
@@ -49,21 +49,25 @@
 
 
 class Phase(enum.Enum):
-    """How far one attempt has come."""
+    """The phase of an attempt."""
 
     PLANNED = "planned"
-    """Decided, and not recorded durably yet."""
+    """Placed, but not yet recorded durably."""
     SENT = "sent"
-    """Recorded; the order went out or may have gone out, the outcome is open."""
+    """Recorded. The start was sent or may have been sent; its outcome is unknown."""
     CONFIRMED = "confirmed"
-    """The runner has said that it is there."""
+    """The runner has confirmed that it has the run."""
     STOPPING = "stopping"
-    """To be stopped; it takes room until the runner lists its end."""
+    """To be stopped. It uses resources until the runner lists it as ended."""
 
 
 @attrs.frozen
 class RunnerIncarnation:
-    """One life of a runner; what its id did in another life says nothing of it."""
+    """One incarnation of a runner.
+
+    What a runner did in one incarnation says nothing about another one under the same
+    id.
+    """
 
     runner_id: str
     born_ms: int | None = None
@@ -73,11 +77,11 @@
 class Stop:
     """The stop of one run.
 
-    :param since_s: on the boot clock: since when the run is to be stopped, under
-        this holder.
-    :param under_way: it waits to be sent, or is being sent until the runner answers.
-    :param uncertain: a try got no answer, and may be carried out seconds later.
-    :param answered_ms: the runner's clock when it took the stop last; 0: not yet.
+    :param since_s: boot clock time at which this holder decided to stop the run.
+    :param under_way: the stop is queued, or is being sent until the runner answers.
+    :param uncertain: a stop order got no answer and may be carried out seconds later.
+    :param answered_ms: the runner's clock when it last accepted the stop; 0 if it has
+        not yet.
     """
 
     reason: str
@@ -91,33 +95,37 @@
 class Attempt:
     """One run of one task on one runner.
 
-    :param confirmed_clock_ms: the runner's clock when it said that the run is there.
-    :param there_ms: the runner's clock when it said so first; 0: not yet.
-    :param born_ms: when the life of the runner began that it was meant for; None: not
-        told.
-    :param read_back: an earlier holder recorded it.
-    :param open_starts: how many orders to start it have no answer; each of them may
+    :param confirmed_clock_ms: the runner's clock when it last confirmed the run.
+    :param first_confirmed_ms: the runner's clock when it first confirmed the run; 0 if
+        it has not yet.
+    :param born_ms: start time of the runner incarnation that the run was meant for;
+        None if unknown.
+    :param read_back: the attempt was recorded by an earlier holder.
+    :param open_starts: the number of start orders without an answer. Each of them may
         still be carried out.
-    :param sent_at_s: on the boot clock: when its start was sent first; 0: not
-        under this holder.
-    :param began_at_s: on the boot clock: when it was confirmed; 0: not yet.
-    :param percent: of its work, as its runner said last.
-    :param first_percent: of its work, when its runner told of it first.
-    :param first_seen_at_s: on the boot clock: when that was; 0: not yet.
-    :param seen_at_s: on the boot clock: when its runner told of it last.
-    :param moved_on_at_s: on the boot clock: when the percent changed last.
-    :param missing_since_ms: on the runner's clock: since when its lists do not show it;
-        0: they do.
-    :param unlisted_since_s: on the boot clock: since when its runner does not list
-        it, though it is there for all that is known; 0: it does.
-    :param unlisted_told: that was logged.
-    :param blamed: an end of its runner was laid to it; recorded with it.
-    :param doubtful: its runner fell silent as it began, and has not been heard since.
-    :param stop: of a run that is to be stopped, what has become of that.
-    :param pace_percent: at what share of its speed it works; None: not known,
-        since an earlier holder may have changed it.
-    :param pace_open_until_s: on the boot clock: until then, a pace without an
-        answer may still replace a newer one; 0: there is none.
+    :param sent_at_s: boot clock time at which the start was first sent; 0 if not by
+        this holder.
+    :param began_at_s: boot clock time at which the run was confirmed; 0 if it is not
+        yet.
+    :param percent: progress as last reported by the runner.
+    :param first_percent: progress in the runner's first report.
+    :param first_seen_at_s: boot clock time of the first report; 0 if there is none.
+    :param seen_at_s: boot clock time of the last report.
+    :param progress_changed_at_s: boot clock time at which the reported progress last
+        changed.
+    :param missing_since_ms: the runner's clock since when its lists do not contain the
+        run; 0 if they contain it.
+    :param unlisted_since_s: boot clock time since when the runner does not list the
+        run, although it is presumed to exist; 0 if it is listed.
+    :param unlisted_logged: the missing listing has been logged.
+    :param blamed: a runner exit has been attributed to this attempt; recorded with it.
+    :param suspected: the runner became silent as the run started and has not answered
+        since.
+    :param stop: the state of the stop if the run is to be stopped.
+    :param pace_percent: the share of full speed at which the run works; None if unknown
+        because an earlier holder may have changed it.
+    :param pace_open_until_s: boot clock time until which an unanswered pace order may
+        still replace a newer one; 0 if there is none.
     """
 
     task: "Task"
@@ -148,40 +156,40 @@
 
     @property
     def stop_reason(self) -> str:
-        """Why it is to be stopped; empty while it is not."""
+        """Why the run is to be stopped; empty if it is not."""
         return self.stop.reason if self.stop is not None else ""
 
     @property
     def must_end(self) -> bool:
-        """Whether nobody wants it, or nobody knows whether it is there."""
+        """Whether the run is no longer needed, or is not known to have started."""
         task = self.task
         if task.step.occurrence.job.over or task.state is TaskState.DONE:
             return True
         return not self.began_at_s
 
     def mark_stopping(self, reason: str) -> None:
-        """Note that it is to be stopped; who calls this has the stop sent."""
+        """Mark the run as to be stopped; the caller has the stop sent."""
         self.phase = Phase.STOPPING
         self.stop = Stop(reason, boot_s())
 
     @property
     def ends_with_incarnation(self) -> bool:
-        """Whether it is surely nowhere once this life of its runner is over.
+        """Whether the run is certainly gone when this runner incarnation ends.
 
-        An order that no life has answered may yet be carried out by the next one.
+        An unanswered order may still be carried out by the next incarnation.
         """
         if self.phase is Phase.PLANNED:
             return True
         return bool(self.seen_at_s) and not self.read_back and not self.open_starts
 
     def is_of_other_incarnation(self, born_ms: int | None) -> bool:
-        """Whether it was meant for another life of its runner than this one."""
+        """Whether the run was meant for a different incarnation of its runner."""
         return None not in (born_ms, self.born_ms) and born_ms != self.born_ms
 
     def reset_confirmation(self, born_ms: int | None) -> None:
-        """Forget what an earlier life of its runner said of it.
+        """Discard what an earlier incarnation of the runner reported about the run.
 
-        :param born_ms: when the life began that is asked for it from now on.
+        :param born_ms: start time of the incarnation that is queried from now on.
         """
         self.born_ms = born_ms
         self.confirmed_clock_ms = self.first_confirmed_ms = 0
@@ -191,23 +199,23 @@
         self.unlisted_since_s = 0.0
 
     def cancel_stop(self) -> None:
-        """Note that it is not to be stopped any more; it was not."""
+        """Record that the run continues and is no longer to be stopped."""
         self.phase = Phase.CONFIRMED
         self.stop = None
 
     def pace_unanswered(self, latest_s: float) -> None:
-        """Note that a pace may be set without our knowing, until ``latest_s``."""
+        """Record that an unanswered pace order may take effect until ``latest_s``."""
         self.pace_percent = None
         self.pace_open_until_s = latest_s
 
     def pace_answered(self, percent: int, sent_at_s: float) -> None:
-        """Note that a pace was set; it stays if nothing older can come after it."""
+        """Record a confirmed pace, which is final if no older order can replace it."""
         self.pace_percent = percent
         if sent_at_s > self.pace_open_until_s:
             self.pace_open_until_s = 0.0
 
     def note_progress(self, percent: float, now_s: float) -> None:
-        """Take how far its runner says that it is."""
+        """Record the progress that the runner reported."""
         if not self.first_seen_at_s:
             self.first_percent, self.first_seen_at_s = percent, now_s
         if percent != self.percent or not self.progress_changed_at_s:
@@ -218,22 +226,24 @@
 
 @attrs.define(eq=False)
 class Task:
-    """One task of one step, at one time of its job.
-
-    :param last_run: the highest run number that was used.
-    :param checkpoint: the newest progress that a runner reported.
-    :param avoid: lives of runners on which it failed, lagged behind or was silent.
-    :param not_before_s: wall time before which it is not placed.
-    :param waiting_since_s: on the boot clock: since when it has no attempt, or is to
-        have one more.
-    :param copy_wanted: one more attempt is to run beside the one that it has.
-    :param moves: how often an attempt was stopped because it lagged behind.
-    :param crashes: how many runners ended as they started it, for all that is known,
-        since it last worked on one for a while; recorded, so that the next holder goes
-        on counting.
-    :param later_ends: the same of runners that surely lived on after its start, and
-        ended before it had worked for a while.
-    :param on_trial: the next end of a runner is to show whether it is at fault.
+    """One task of one step in one occurrence of its job.
+
+    :param last_run: the highest run number used so far.
+    :param checkpoint: the newest checkpoint that a runner reported.
+    :param avoid: runner incarnations on which the task failed, lagged, or was on a
+        silent runner.
+    :param not_before_s: wall time before which the task is not placed.
+    :param waiting_since_s: boot clock time since when the task has no attempt, or since
+        when a speculative copy is requested.
+    :param copy_requested: a speculative copy is to run beside the current attempt.
+    :param moves: how often an attempt was stopped because it lagged.
+    :param crashes: how many runners presumably exited as they started this task, since
+        it last worked on a runner for a while. It is recorded so that the next holder
+        continues the count.
+    :param later_ends: the same count for runners that certainly stayed alive after the
+        start and exited before the task had worked for a while.
+    :param on_probation: the task runs apart from others, so that the next runner exit
+        shows whether it is at fault.
     """
 
     step: "StepRun"
@@ -254,24 +264,24 @@
 
     @property
     def suspect(self) -> bool:
-        """Whether it may be what ended a runner, or what silenced one just now."""
+        """Whether the task may have caused a runner exit or a recent runner silence."""
         return self.on_probation or any(attempt.suspected for attempt in self.attempts)
 
     @property
     def lost_runners(self) -> int:
-        """How many runners ended under it since it last worked on one for a while."""
+        """How many runners exited under the task since it last worked for a while."""
         return self.crashes + self.later_ends
 
     @property
     def needs_attempt(self) -> bool:
-        """Whether a runner is to be found for it."""
+        """Whether the task needs to be placed on a runner."""
         if self.state is TaskState.WAITING:
             return True
         return self.copy_requested and self.state is TaskState.PLACED
 
     @property
     def name(self) -> str:
-        """The name on the wire."""
+        """The task's name on the wire."""
         return task_name(
             self.step.occurrence.job.job_id,
             self.step.occurrence.number,
@@ -286,15 +296,15 @@
 
 
 def job_id_of_task(name: str) -> str:
-    """Return the id of the job that a task's name begins with; ids may hold dots."""
+    """Return the job id at the start of a task's name; ids may contain dots."""
     return name.rsplit(".", 3)[0]
 
 
 @attrs.frozen(eq=False)
 class Blame:
-    """The end of a runner that was laid to a task.
+    """A runner exit that was attributed to a task.
 
-    :param later: the runner had surely lived on after the task's start.
+    :param later: the runner certainly stayed alive after the task's start.
     """
 
     task: Task
@@ -303,9 +313,9 @@
 
 @attrs.define(eq=False)
 class StepRun:
-    """One step at one time of its job.
+    """One step in one occurrence of its job.
 
-    :param told_waiting: it was logged that the step waits for room.
+    :param waiting_logged: it has been logged that the step waits for resources.
     """
 
     occurrence: "Occurrence"
@@ -319,31 +329,31 @@
 
     @property
     def done(self) -> bool:
-        """Whether all of its tasks have ended so."""
+        """Whether all of the step's tasks are done."""
         return self.done_count == len(self.tasks)
 
     @property
     def reserved_cpu(self) -> int:
-        """The room that one task takes: filling ones live on what others leave."""
+        """The cpu to reserve for one task; filler tasks use only what others leave."""
         return 0 if self.request.fills else self.request.cpu
 
     def blocked_by(self) -> list[int]:
-        """Return the numbers of the steps before it that are not done."""
+        """Return the numbers of the preceding steps that are not done."""
         steps = self.occurrence.steps
         return [number for number in self.request.after if not steps[number].done]
 
     def has_waiting(self) -> bool:
-        """Whether a runner is to be found for some task."""
+        """Whether any task needs to be placed."""
         return any(task.needs_attempt for task in self.tasks)
 
     def waiting(self) -> list[Task]:
-        """Return the tasks for which a runner is to be found."""
+        """Return the tasks that need to be placed."""
         return [task for task in self.tasks if task.needs_attempt]
 
 
 @attrs.define(eq=False)
 class Occurrence:
-    """One time at which a job's steps run."""
+    """One scheduled repetition of a job's steps."""
 
     job: "Job"
     number: int
@@ -356,7 +366,7 @@
         return all(step.done for step in self.steps)
 
     def ready_steps(self) -> t.Iterator[StepRun]:
-        """Yield the steps that may run now and have something to place."""
+        """Yield the unfinished steps whose preceding steps are done."""
         for step in self.steps:
             if step.done:
                 continue
@@ -366,18 +376,18 @@
 
 @attrs.define(eq=False)
 class Job:
-    """One job, from its hand-in until it is forgotten.
-
-    :param service: the pool whose runners run it.
-    :param accepted_at_s: wall time of its acceptance, in seconds since 1970.
-    :param occurrences: the times that have begun and are not done.
-    :param done_times: numbers of the times that are done.
-    :param begun: a runner has confirmed one of its runs.
-    :param ended_at_s: wall time of its end, or None.
-    :param durable: its hand-in is recorded, so it may be acknowledged.
-    :param left_in_inbox: another daemon has acknowledged it and left it in the store.
-    :param account: the client account that handed it in; empty: its route needed no
-        key.
+    """One job, from its submission until it is forgotten.
+
+    :param service: the pool whose runners run the job.
+    :param accepted_at_s: wall time of acceptance, in seconds since 1970.
+    :param occurrences: the occurrences that have begun and are not done.
+    :param done_times: the numbers of the occurrences that are done.
+    :param begun: a runner has confirmed at least one run of the job.
+    :param ended_at_s: wall time at which the job ended, or None.
+    :param durable: the submission is recorded, so it may be acknowledged.
+    :param left_in_inbox: another daemon acknowledged the job and left it in the store.
+    :param account: the client account that submitted the job; empty if its route needed
+        no key.
     """
 
     job_id: str
@@ -402,12 +412,12 @@
 
     @property
     def times(self) -> int:
-        """How often its steps run."""
+        """The number of occurrences."""
         return max(1, self.request.times)
 
     @property
     def state(self) -> JobState:
-        """What a caller is told."""
+        """The state that is reported to callers."""
         if self.cancelled:
             return JobState.CANCELLED
         if self.failed:
@@ -418,29 +428,29 @@
 
     @property
     def over(self) -> bool:
-        """Whether nothing of it is to run any more."""
+        """Whether no further run of the job is needed."""
         return self.cancelled or self.failed or len(self.done_times) == self.times
 
     def attempts(self) -> t.Iterator[Attempt]:
-        """Yield the attempts of all of its tasks."""
+        """Yield the attempts of all tasks."""
         for occurrence in self.occurrences.values():
             for step in occurrence.steps:
                 for task in step.tasks:
                     yield from task.attempts
 
     def has_attempts(self) -> bool:
-        """Whether something of it takes room on a runner."""
+        """Whether any attempt of the job uses resources on a runner."""
         return any(True for _ in self.attempts())
 
     def due_at_s(self, number: int) -> float:
-        """Return the wall time at which a time falls due."""
+        """Return the wall time at which an occurrence is due."""
         if self.request.times <= 0:
             return self.accepted_at_s
         start_ms = self.request.first_due_ms + number * self.request.interval_ms
         return start_ms / 1000
 
     def begin(self, number: int) -> Occurrence:
-        """Create the steps and tasks of one time."""
+        """Create the steps and tasks of one occurrence."""
         occurrence = Occurrence(self, number, self.due_at_s(number))
         for step_number, request in enumerate(self.request.steps):
             step = StepRun(occurrence, step_number, request)
@@ -451,9 +461,9 @@
 
 
 def new_job(job_id: str, route: Route, body: bytes, account: str = "") -> Job:
-    """Return the job that a caller hands in at a route now, for an account or none.
+    """Return a job that a caller now submits at a route, with or without an account.
 
-    :raises BadInputError: the body is no job.
+    :raises BadInputError: the body is not a valid job.
     """
     return Job(
         job_id=job_id,
--- a/src/streamthread/scheduler/settings.py
+++ b/src/streamthread/scheduler/settings.py
@@ -1,4 +1,4 @@
-"""Figures of the scheduler."""
+"""Settings of the scheduler."""
 
 import attrs
 
@@ -9,33 +9,37 @@
 
 @attrs.frozen
 class EngineSettings:
-    """Figures of the scheduler.
+    """Settings of the scheduler.
 
-    :param early_s: a time may begin so much before it falls due.
-    :param list_slack_ms: a list counts as newer than an answer only if the
-        runner's clock is so much further; lists are made in whole milliseconds.
-    :param unlisted_s: a run that its runner has not listed for longer is counted as
-        unlisted; lists come every 0.8 s, and one may be older than the run.
-    :param stop_effect_ms: on a runner's clock: a run that it still lists so long after
-        it took its stop was not stopped.
-    :param penalty_s: how long a runner that failed tasks is used last.
-    :param penalty_failures: so many failures within ``penalty_s`` bring that.
-    :param lasting_patience_s: a lasting task that waits for longer may go to a
-        runner that is being emptied.
-    :param crashes_alone: a task is given up after so many runners have ended under it
-        if it alone had just been started on the last one. Two are the least that tell
-        it from what ran beside it, and a runner that crashes by itself while it is
-        apart would then do for it: with two, a task was given up to which this
-        happened twice in a row. The third costs one more runner for each such task.
-    :param unsteady_ends: where so many runners of a pool have ended by themselves
-        lately, ``crashes_alone`` does not do: the third end may be one of these.
-    :param most_crashes: it is given up after so many in any case. The users' pages
-        allow two starts more after the third; one is left for a crash that no holder
-        has seen.
-    :param most_lost_runners: it is given up after so many that ended under it, at its
-        start or later. A runner that ends by itself before a task has worked for
-        a while looks the same; the task is then given up for ends by chance.
-    :param restart_pause_s: before a lasting task that failed starts again.
+    :param early_s: an occurrence may begin this long before it is due.
+    :param list_slack_ms: a list counts as newer than an answer only if the runner's
+        clock is ahead by more than this; lists are stamped in whole milliseconds.
+    :param unlisted_s: a run counts as unlisted when its runner has not listed it for
+        longer than this. Lists arrive every 0.8 s, and one list may be older than the
+        run.
+    :param stop_effect_ms: measured on the runner's clock. A run that is still listed
+        this long after the runner accepted its stop has not been stopped.
+    :param penalty_s: how long a runner on which tasks failed is used only as a last
+        choice.
+    :param penalty_failures: the number of failures within ``penalty_s`` that leads to
+        the penalty.
+    :param lasting_patience_s: a long-running task that has waited longer than this may
+        be placed on a runner that is being emptied.
+    :param crashes_alone: a task is given up after this many runner exits if it alone
+        had just been started on the last of these runners. Two is the minimum that
+        distinguishes the task from those that ran beside it, but with two, a task was
+        given up because unrelated runner exits hit it twice in a row while it was
+        isolated. The third crash costs one more runner for each faulty task.
+    :param unsteady_ends: if this many runners of a pool have recently exited on their
+        own, ``crashes_alone`` does not suffice, because the third exit may be one of
+        these.
+    :param most_crashes: a task is given up after this many crashes in any case. The
+        users' documentation allows two more starts after the third crash; one of them
+        is reserved for a crash that no holder has observed.
+    :param most_lost_runners: a task is given up after this many runner exits, at its
+        start or later. An exit that the task did not cause, before the task has worked
+        for a while, looks the same, and the task is then given up for unrelated exits.
+    :param restart_pause_s: the pause before a failed long-running task starts again.
     """
 
     early_s: float = 0.1
