--- a/src/streamthread/scheduler/engine.py
+++ b/src/streamthread/scheduler/engine.py
@@ -1,6 +1,7 @@
-"""The holder's state of all jobs, and what follows from each event.
+"""The holder's state of all jobs, and the consequences of each event.
 
-No input or output: the service records what changed and sends the orders.
+This module does no input or output: the service records the changes and sends the
+orders.
 """
 
 import time
@@ -38,10 +39,11 @@
 
 
 class Engine:
-    """All jobs of a cell, and the runners' room.
+    """All jobs of a cell, and the resources of its runners.
 
     :param changed: called with each job whose progress must be recorded.
-    :param limit_of: returns what a client account may have running at once.
+    :param limit_of: returns the limit on what a client account may have running at
+        once.
     """
 
     def __init__(
@@ -74,11 +76,11 @@
     # Jobs.
 
     def add(self, job: Job) -> None:
-        """Take a job, new or read back."""
+        """Add a job, either new or read back from the store."""
         self._ledger.add(job)
 
     def cancel(self, job: Job) -> None:
-        """Cancel a job that is not over; what runs is to be stopped."""
+        """Cancel a job that is not over and have its runs stopped."""
         if job.over:
             return
         job.cancelled = True
@@ -87,33 +89,34 @@
         self._ledger.changed(job)
 
     def withdraw(self, job: Job) -> None:
-        """Drop a new job of which no start was sent, as if it had never come."""
+        """Remove a new job of which no start was sent, as if never submitted."""
         for attempt in list(job.attempts()):
             self._ledger.remove(attempt, self.runners.get(attempt.runner_id))
         self._ledger.drop(job)
 
     def forget(self, before_s: float) -> list[Job]:
-        """Drop the jobs that ended before a wall time and return them."""
+        """Remove the jobs that ended before a wall time and return them."""
         return self._ledger.forget(before_s)
 
     def pending_count(self, route: str) -> int:
-        """Return how many of a route's jobs have not begun."""
+        """Return the number of a route's jobs that have not begun."""
         return sum(
             job.route == route and not job.begun and not job.over
             for job in self.open_jobs()
         )
 
     def open_jobs(self) -> t.Collection[Job]:
-        """Return the jobs of which something may still run."""
+        """Return the jobs that may still have runs."""
         return self._ledger.open.values()
 
     # Runners.
 
     def add_runner(self, runner: RunnerState) -> None:
-        """Take a new life of a runner, with what is recorded there.
+        """Add a new runner incarnation with the attempts that are recorded for it.
 
-        A run that an earlier holder recorded for another life of it has lost its
-        runner, or has come to this life after all: it is stopped, not started again.
+        If an earlier holder recorded a run for another incarnation of this runner, the
+        run either was lost with that incarnation or has reached this one. It is
+        therefore stopped and not started again.
         """
         self.runners[runner.runner_id] = runner
         given_up: list[Task] = []
@@ -130,13 +133,13 @@
             self._outcomes.give_up(task)
 
     def _stop_on_next_incarnation(self, attempt: Attempt, runner: RunnerState) -> None:
-        """Have a run stopped whose start may have come to this life of its runner."""
+        """Stop a run whose start may have reached this incarnation of its runner."""
         attempt.reset_confirmation(runner.born_ms)
         runner.add(attempt.task.name, attempt)
         self.stops.request_stop_again(attempt, "runner-restarted")
 
     def runner_exited(self, runner_id: str, why: str) -> None:
-        """A runner's life has surely ended: nothing runs there any more."""
+        """Handle the certain exit of a runner incarnation and of all its runs."""
         runner = self.runners.pop(runner_id, None)
         if runner is None:
             return
@@ -148,7 +151,7 @@
         self._expire(attempts, runner)
 
     def _expire(self, attempts: t.Sequence[Attempt], runner: RunnerState) -> None:
-        """Have lost tasks placed again, but for those that ended their runners."""
+        """Requeue lost tasks, and give up those that caused too many runner exits."""
         given_up = self._crashes.attribute_exit(runner)
         for attempt in attempts:
             self._ledger.expire(attempt, runner)
@@ -156,11 +159,12 @@
             self._outcomes.give_up(task)
 
     def runner_restarted(self, before: RunnerState, after: RunnerState) -> None:
-        """Another life of a runner has taken the place of one, under the same id.
+        """Replace a runner incarnation with the next one under the same id.
 
-        Nothing that is known of the former life holds for the next one: neither its
-        clock nor what it listed, and its runs have ended with it. Runs whose starts may
-        have come to the next life are stopped there before their tasks wait again.
+        Nothing that is known about the former incarnation applies to the next one,
+        neither its clock nor its lists, and its runs have ended with it. Runs whose
+        starts may have reached the next incarnation are stopped there before their
+        tasks are queued again.
         """
         self.restarts += 1
         lost = [a for a in before.attempts.values() if a.ends_with_incarnation]
@@ -184,7 +188,7 @@
             self._stop_on_next_incarnation(attempt, after)
 
     def attempts_expired(self, runner_id: str, why: str) -> None:
-        """All that ran on a runner has surely lapsed; the runner may live."""
+        """Handle the certain expiry of all runs on a runner that may be alive."""
         runner = self.runners.get(runner_id)
         if runner is None or not runner.attempts:
             return
@@ -195,33 +199,33 @@
         self._expire(list(runner.attempts.values()), runner)
 
     def orphans(self) -> list[Attempt]:
-        """Return the attempts on runners that are not known here."""
+        """Return the attempts on runners that this holder does not know."""
         return self._ledger.orphans()
 
     def drop_orphan(self, attempt: Attempt) -> None:
-        """An attempt on an unknown runner has surely lapsed."""
+        """Handle the certain expiry of an attempt on an unknown runner."""
         given_up = self._crashes.attribute_orphan_exit(attempt)
         self._ledger.expire(attempt, None)
         for task in given_up:
             self._outcomes.give_up(task)
 
-    # What the runners say.
+    # Reports from runners.
 
     def on_hold(self, runner: RunnerState, reply: HoldReply) -> list[Stray]:
-        """Take a runner's lists; return the runs that should not be there."""
+        """Process a runner's lists and return the runs that should not be there."""
         return self._outcomes.on_hold(runner, reply)
 
     def confirm(self, attempt: Attempt, clock_ms: int) -> None:
-        """A runner has said that a run is there."""
+        """Handle a runner's confirmation that it has a run."""
         self._outcomes.confirm(attempt, clock_ms)
 
     def refuse(self, attempt: Attempt, why: str) -> None:
-        """A runner has said that it did not start a run, and will not."""
+        """Handle a runner's answer that it did not and will not start a run."""
         self._outcomes.refuse(attempt, why)
 
     @property
     def unlisted_runs(self) -> int:
-        """How many runs count as running and have not been listed for long."""
+        """The number of runs that count as running but have long not been listed."""
         since_s = boot_s() - self.settings.unlisted_s
         return sum(
             0 < attempt.unlisted_since_s < since_s
@@ -232,39 +236,39 @@
     # Stops.
 
     def stop(self, attempt: Attempt, reason: str) -> None:
-        """Have a run stopped; its task waits again once it has ended."""
+        """Have a run stopped; its task is queued again once the run has ended."""
         self.stops.request_stop(attempt, reason)
 
     def take_stops(self) -> list[Attempt]:
-        """Return the runs for which a stop is to be sent now; the caller sends it."""
+        """Return the runs whose stop is due to be sent; the caller sends it."""
         return self.stops.take()
 
     @property
     def overdue_stops(self) -> int:
-        """How many runs had been to be stopped for too long, at the last look."""
+        """The number of overdue stops at the last call of `log_overdue_stops`."""
         return self.stops.overdue
 
     def log_overdue_stops(self) -> None:
-        """Tell of runs that go on though they have been to be stopped for long."""
+        """Log runs that are still there although their stop is overdue."""
         self.stops.log_overdue()
 
-    # Copies, and runs that lag behind.
+    # Speculative copies and lagging runs.
 
     def request_copies(self, runner_id: str) -> bool:
-        """Have copies run elsewhere of what a silent runner has, where steps allow.
+        """Request speculative copies of a silent runner's runs where steps allow it.
 
-        :return: whether some copy is wanted that was not before.
+        :return: whether a copy was requested that was not requested before.
         """
         return self._lags.request_copies(runner_id)
 
     def handle_lagging_runs(self) -> bool:
-        """Copy or move runs that lag behind; return whether any do."""
+        """Copy or move runs that lag; return whether there were any."""
         return self._lags.watch()
 
     # Placement.
 
     def begin_due(self, now_s: float) -> float | None:
-        """Create the times that fall due; return when the next one does."""
+        """Create the occurrences that are due; return when the next one is due."""
         next_s: float | None = None
         for job in self.open_jobs():
             if job.over:
@@ -280,7 +284,7 @@
         return next_s
 
     def ready_steps(self) -> dict[str, list[StepRun]]:
-        """Return the steps that have something to place, by pool."""
+        """Return the steps that have tasks to place, by pool."""
         found: dict[str, list[StepRun]] = {}
         for job in self.open_jobs():
             if job.over:
@@ -296,9 +300,11 @@
         now_s: float,
         tickets: t.Callable[[StepRun], t.Collection[str] | None],
     ) -> list[Attempt]:
-        """Place what there is room for in all pools; return the new attempts.
+        """Place the tasks for which resources are free in all pools.
 
-        :param tickets: the ids of the runners that may run a step; None: all.
+        :param tickets: returns the ids of the runners that may run a step; None means
+            all.
+        :return: the new attempts.
         """
         placed: list[Attempt] = []
         for service, steps in self.ready_steps().items():
@@ -330,7 +336,7 @@
             attempts = self._place_step(step, usable, now_s, tickets(step), max_count)
             placed.extend(attempts)
             if not attempts:
-                # Room has become less since it was measured.
+                # Free capacity has decreased since it was computed.
                 largest = LargestFreeCapacity.among(runners)
         return placed
 
@@ -358,7 +364,7 @@
     def _candidates(
         self, steps: t.Iterable[StepRun], largest: LargestFreeCapacity, usable: int
     ) -> list[StepRun]:
-        """Return the steps worth sorting: those that some runner has room for."""
+        """Return the steps worth sorting: those that may fit on some runner."""
         found: list[StepRun] = []
         for step in steps:
             if largest.may_fit(step) or self._needs_last_resort(step):
@@ -371,7 +377,7 @@
     def _log_placement(
         step: StepRun, planned: list[tuple[Placement, int]], usable: int
     ) -> None:
-        """Say where tasks go; that a step waits is said once."""
+        """Log where tasks are placed; log only once that a step waits."""
         if not planned and step.waiting_logged:
             return
         left = len(step.waiting())
@@ -392,7 +398,7 @@
         )
 
     def _needs_last_resort(self, step: StepRun) -> bool:
-        """Whether lasting tasks have waited for so long that any runner will do."""
+        """Whether long-running tasks have waited so long that any runner will do."""
         if not step.request.lasting:
             return False
         since_s = boot_s() - self.settings.lasting_patience_s
@@ -410,7 +416,7 @@
 
 
 def _describe_loss(runner: RunnerState, why: str) -> dict[str, t.Any]:
-    """Return what the logs tell of a runner with which attempts are lost."""
+    """Return the log fields for a runner whose attempts are lost."""
     last = started_last(runner, boot_s())
     return {
         "runner": runner.runner_id,
@@ -421,7 +427,7 @@
 
 
 def _next_run(task: Task) -> int:
-    """Return the number of a task's next run; a gang's members share theirs."""
+    """Return the number of a task's next run; gang members share one number."""
     if not task.step.request.gang:
         return task.last_run + 1
     return max(member.last_run for member in task.step.tasks) + 1
