--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -1,4 +1,4 @@
-"""Which task goes to which runner: pure decisions over the present state."""
+"""Chooses runners for tasks, as pure decisions over the present state."""
 
 import collections
 import typing as t
@@ -27,29 +27,29 @@
 ]
 
 URGENCY_CACHE_S = 0.3
-"""A step's urgency changes with learned run times and the time of day: slowly
-beside the slack of a second or more that jobs have."""
+"""How long a step's urgency is cached. It depends on learned run times and the time of
+day, which change slowly compared with the slack of a second or more that jobs have."""
 
 
 @attrs.frozen
 class Placement:
-    """One task and the runner that is to run it."""
+    """A task and the runner that is to run it."""
 
     task: Task
     runner: RunnerState
 
 
 AVOID_WAIT_S = 1.5
-"""So long a failed task waits for room on a runner where it has not failed: about
-as long as a task runs."""
+"""How long a failed task waits for free capacity on a runner where it has not failed.
+This is about as long as a task runs."""
 
 
 @attrs.frozen
 class LargestFreeCapacity:
-    """The most room that any one runner has, of each kind.
+    """The maximum of each resource that any single runner has free.
 
-    Most steps of a long queue fit nowhere; this tells so without a look at each
-    runner for each of them.
+    Most steps of a long queue fit nowhere. This check detects that without looking at
+    each runner for each step.
     """
 
     cpu: int = -1
@@ -58,7 +58,7 @@
 
     @classmethod
     def among(cls, runners: t.Iterable[RunnerState]) -> "LargestFreeCapacity":
-        """Return the largest room among runners; none of them: nothing fits."""
+        """Return the maxima over runners; without runners, nothing fits."""
         cpu = memory_mb = gpu = -1
         for runner in runners:
             cpu = max(cpu, runner.free_cpu)
@@ -67,7 +67,7 @@
         return cls(cpu, memory_mb, gpu)
 
     def may_fit(self, step: StepRun) -> bool:
-        """Whether one task of a step may fit somewhere."""
+        """Whether one task of a step may fit on some runner."""
         request = step.request
         return (
             step.reserved_cpu <= self.cpu
@@ -77,7 +77,7 @@
 
 
 def open_chain_s(occurrence: Occurrence, times: RunTimes, only_open: bool) -> float:
-    """Return the length of the longest chain of a time's (open) steps."""
+    """Return the length of the longest chain of an occurrence's (open) steps."""
     ends: list[float] = []
     for step in occurrence.steps:
         own_s = 0.0
@@ -89,9 +89,9 @@
 
 
 def outlook(occurrence: Occurrence, times: RunTimes) -> tuple[float, float]:
-    """Return how long a time's open chain takes, and when it has to have ended.
+    """Return the duration of an occurrence's open chain and its latest end.
 
-    :return: seconds, and a wall time: the latest end that meets the objective.
+    :return: seconds, and the latest wall time of an end that meets the objective.
     """
     job = occurrence.job
     chain_s = open_chain_s(occurrence, times, only_open=False)
@@ -101,11 +101,12 @@
 
 
 def urgency(step: StepRun, times: RunTimes, now_s: float) -> tuple[t.Any, ...]:
-    """Return the sort key of a step: what sorts first is placed first.
+    """Return the sort key of a step; steps that sort first are placed first.
 
-    By priority; within one, lasting tasks first, since they earn for as long as
-    they are at work; then the jobs that can still meet their objective, the
-    tightest first; then the others, the oldest first.
+    Steps are sorted by priority. Within a priority, long-running tasks come first,
+    since they are productive for as long as they run. Next come the jobs that can still
+    meet their objective, those with the least slack first, and then all others, the
+    oldest first.
     """
     job = step.occurrence.job
     if step.request.lasting:
@@ -119,12 +120,12 @@
 def order_steps(
     steps: t.Iterable[StepRun], times: RunTimes, now_s: float
 ) -> list[StepRun]:
-    """Return the steps in the order in which they get room."""
+    """Return the steps in the order in which they are given resources."""
     return sorted(steps, key=lambda step: _cached_urgency(step, times, now_s))
 
 
 def _cached_urgency(step: StepRun, times: RunTimes, now_s: float) -> tuple[t.Any, ...]:
-    """Return a step's urgency, worked out anew only now and then."""
+    """Return a step's urgency, recomputed only when the cached value is too old."""
     if step.urgency is None or now_s - step.urgency_at_s > URGENCY_CACHE_S:
         step.urgency = urgency(step, times, now_s)
         step.urgency_at_s = now_s
@@ -138,12 +139,12 @@
     tickets: t.Collection[str] | None = None,
     max_count: int | None = None,
 ) -> list[Placement]:
-    """Return where the step's waiting tasks go, as far as there is room.
+    """Return placements for the step's waiting tasks, as far as capacity is free.
 
-    A gang goes all at once or not at all.
+    A gang is placed completely or not at all.
 
-    :param tickets: ids of the runners that may run the step; None: all.
-    :param most: so many tasks may be placed at most; None: any number.
+    :param tickets: ids of the runners that may run the step; None means all.
+    :param max_count: the maximum number of tasks to place; None means no limit.
     """
     waiting = [task for task in step.waiting() if task.not_before_s <= now_s]
     if not waiting:
@@ -168,9 +169,10 @@
 
 
 def _without_penalized(runners: list[RunnerState], now_s: float) -> list[RunnerState]:
-    """Leave out runners that failed much lately, while most others did not.
+    """Exclude runners that recently failed often, while most others did not.
 
-    A runner that fails all at once always has room, and would draw all work.
+    A runner that fails every task immediately always has free capacity and would
+    attract all tasks.
     """
     healthy = [runner for runner in runners if runner.penalty_until_s <= now_s]
     return healthy if 2 * len(healthy) >= len(runners) else runners
@@ -188,7 +190,7 @@
 
 
 def is_avoided(task: Task, runner: RunnerState) -> bool:
-    """Whether a task failed, lagged behind or was silent in this life of a runner."""
+    """Whether a task failed, lagged or was silent on this runner incarnation."""
     return bool(task.avoid) and runner.incarnation in task.avoid
 
 
@@ -204,7 +206,7 @@
     runners: t.Sequence[RunnerState],
     now_s: float,
 ) -> list[Placement]:
-    """Place a step's tasks, each on the runner with room that costs least."""
+    """Place a step's tasks, each on the fitting runner with the lowest cost."""
     there = _count_per_runner(step)
     job, clock_s = step.occurrence.job, boot_s()
     open_runners = [runner for runner in runners if accepts_job(job, runner, clock_s)]
@@ -224,9 +226,10 @@
     there: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
-    """Place tasks that all see the same costs, with one look at each runner.
+    """Place tasks that all have the same costs, visiting each runner once.
 
-    A runner that is the best for one task is so for the next, until it is full.
+    A runner that is the best choice for one task remains the best for the next one
+    until it is full.
     """
     request = waiting[0].step.request
     cpu = waiting[0].step.reserved_cpu
@@ -252,9 +255,9 @@
     there: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
-    """Place tasks whose costs differ, with the room that earlier ones take.
+    """Place tasks whose costs differ, counting what earlier ones take.
 
-    :param for_trial: the runners for tasks that may end them.
+    :param for_probation: the runners for tasks that may cause runner exits.
     """
     planned: collections.Counter[str] = collections.Counter()
     placed: list[Placement] = []
@@ -278,10 +281,10 @@
     now_s: float,
     placed: t.Sequence[Placement],
 ) -> RunnerState | None:
-    """Return the runner with room for one more task that costs least.
+    """Return the runner with capacity for one more task that has the lowest cost.
 
-    :param there: how many of the step's tasks each runner has.
-    :param planned: how many more it gets by this call.
+    :param there: the number of the step's tasks that each runner already has.
+    :param planned: the number of tasks that this call adds to each runner.
     """
     request = task.step.request
     cpu = task.step.reserved_cpu
@@ -319,9 +322,11 @@
     now_s: float,
     placed: t.Sequence[Placement],
 ) -> tuple[t.Any, ...]:
-    """Return how unwelcome a runner is: sound, near the data, then fullest.
+    """Return the cost of a runner, lower being better.
 
-    A suspect task goes with those of its job, and where the least is lost with it.
+    Runners without recent failures come first, then those near the data, then the
+    fullest. A suspect task goes beside other tasks of its job that are placed with it,
+    and then to the runner with the fewest attempts, where the fewest are lost with it.
     """
     request = task.step.request
     unhealthy = runner.penalty_until_s > now_s or is_avoided(task, runner)
--- a/src/streamthread/scheduler/probation.py
+++ b/src/streamthread/scheduler/probation.py
@@ -1,4 +1,4 @@
-"""Where tasks go that may have ended a runner: apart from others on trial."""
+"""Places tasks that may have caused a runner exit apart from other tasks."""
 
 import typing as t
 
@@ -18,38 +18,41 @@
 ]
 
 SIMULTANEOUS_START_S = 0.1
-"""Starts that went to a runner so close together are not told apart by its end: that
-comes some 10 ms after the start that brought it about, and is seen 50 ms later."""
+"""Starts that were sent to a runner within this interval can't be told apart by the
+runner's exit. The exit follows some 10 ms after the start that caused it and is noticed
+50 ms later."""
 
 PROBATION_S = 0.5
-"""A runner gets nothing else for so long after the start of a task on trial: what ends
-its runners has done so by then. Without it, three tasks at fault among nine that came
-together had one of the others given up in two runs of three."""
+"""How long a runner gets no other tasks after the start of a task on probation. A task
+that crashes its runners has done so by then. Without this interval, if three faulty
+tasks were among nine that arrived together, one of the other tasks was given up in two
+runs out of three."""
 
 MAX_PROBATION_SHARE = 0.5
-"""At most this share of a pool's runners is on trial at a time, so that the others'
-work goes on."""
+"""The maximum share of a pool's runners that are on probation at a time, so that other
+tasks can continue."""
 
 
 MAX_PROBATION_WAIT_S = 1.0
-"""A task on trial that has waited for so long goes wherever no trial is under way and
-no other suspect is being started, and begins no trial. Many come at once where a runner
-ends just after a store has come back; one after the other they would wait for longer
-than the 3 s in which a job is to run."""
+"""A task on probation that has waited longer than this is placed on any runner that is
+on probation for no other job and is not starting another suspect, and it reserves no
+runner. If a runner exits just after the store has recovered, many tasks are on
+probation at once; one after the other, they would wait for longer than the 3 s within
+which a job has to run."""
 
 
 def accepts_job(job: Job, runner: RunnerState, now_s: float) -> bool:
-    """Whether a runner is not on trial with another job's task.
+    """Whether a runner is not on probation with another job's task.
 
-    :param now_s: on the boot clock.
+    :param now_s: boot clock time.
     """
     return runner.probation_until_s <= now_s or runner.probation_job is job
 
 
 def begin_probation(task: Task, runner: RunnerState) -> None:
-    """Keep a runner for a task on trial until it has shown what it does.
+    """Reserve a runner for a task on probation until its effect is known.
 
-    One that has waited for too long keeps nobody off, so that others need not wait.
+    A task that has waited too long reserves no runner, so that others need not wait.
     """
     now_s = boot_s()
     if _has_waited(task.waiting_since_s, now_s):
@@ -68,10 +71,10 @@
     waits_since_s: float,
     now_s: float,
 ) -> list[RunnerState]:
-    """Return the runners on which a job's task may be tried now.
+    """Return the runners on which a job's suspect task may be placed now.
 
-    :param waits_since_s: on the boot clock: since when the first of them waits.
-    :param now_s: on the boot clock.
+    :param waits_since_s: boot clock time since when the first such task waits.
+    :param now_s: boot clock time.
     """
     open_runners = [runner for runner in runners if accepts_job(job, runner, now_s)]
     if _has_waited(waits_since_s, now_s):
@@ -87,7 +90,7 @@
 
 
 def _is_starting_others(job: Job, runner: RunnerState, now_s: float) -> bool:
-    """Whether a runner has tasks of other jobs whose own start may yet end it."""
+    """Whether a runner has tasks of other jobs whose start may still crash it."""
     return any(
         attempt.task.suspect or _is_starting(attempt, now_s)
         for attempt in _attempts_of_others(job, runner)
@@ -95,9 +98,9 @@
 
 
 def _is_starting_suspects(job: Job, runner: RunnerState, now_s: float) -> bool:
-    """Whether an end of a runner would be laid to suspects of other jobs as well.
+    """Whether a runner exit would be attributed to suspects of other jobs as well.
 
-    Tried together again and again, the tasks beside the one at fault would be given up
+    If they repeatedly start together, tasks beside the faulty one would be given up
     with it.
     """
     return any(
@@ -113,6 +116,6 @@
 
 
 def _is_starting(attempt: Attempt, now_s: float) -> bool:
-    """Whether what is sent now can't be told apart from an attempt by an end."""
+    """Whether an exit could be due to this attempt as well as to a new one."""
     planned = attempt.phase is Phase.PLANNED
     return planned or attempt.sent_at_s > now_s - SIMULTANEOUS_START_S
