--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -1,11 +1,12 @@
-"""Tasks that end the runners which start them, told from what only ran beside them.
-
-The end of a runner comes with no list, so that nothing else counts it against the
-tasks that were there: they lapse and are placed again. Two tasks that crash their
-runners took down 9 a second, of a pool of 16, for as long as they were placed again;
-each is given up after three or four. What they ran beside goes on: an end is laid to
-those alone that had been started there last, and these run apart until it is known
-which of them it was.
+"""Attributes runner exits to the tasks that may have caused them.
+
+A runner exit comes with no list, so nothing else counts it against the tasks that ran
+there: their runs expire and the tasks are placed again. Two tasks that crashed their
+runners took down 9 runners a second, in a pool of 16, for as long as they were placed
+again. Each such task is now given up after three or four crashes. The tasks that ran
+beside it continue: an exit is attributed only to the tasks that had been started last
+on the runner, and these run apart from others until it is known which of them caused
+it.
 """
 
 import typing as t
@@ -30,25 +31,25 @@
 log = logbook.Logger("streamthread.scheduler")
 
 MIN_OUTLIVED_MS = 50
-"""By its clock: a runner that has lived on for so long after a start was not taken down
-by that start alone, which takes some 10 ms."""
+"""Measured on the runner's clock. A runner that stayed alive for this long after a
+start was not crashed by that start alone, which takes some 10 ms."""
 
 START_CRASH_WINDOW_S = 0.5
-"""A run that takes its runner down does so within some 10 ms; the start, the call that
-meets the closed connection and a busy loop add up to some 0.3 s."""
+"""A run that crashes its runner does so within some 10 ms. The start, the call that
+meets the closed connection and a busy event loop add up to some 0.3 s."""
 
 STABLE_RUN_S = 2.0
-"""A run that has worked for so long does not crash each runner that starts it. Where a
-runner is silent with open connections, it is known no better since when: a call takes
-1.5 s at most to find out."""
+"""A run that has worked for this long does not crash every runner that starts it. If a
+runner is silent with open connections, the start of its silence is not known more
+precisely than this, since a call takes up to 1.5 s to detect it."""
 
 
 def started_last(runner: RunnerState, now_s: float) -> list[Attempt]:
-    """Return the attempts that were started last before a runner fell silent, if any.
+    """Return the attempts that were started last before a runner became silent.
 
-    Those whose starts were sent at the same moment are not told apart.
+    Attempts whose starts were sent at nearly the same time are not told apart.
 
-    :param now_s: on the boot clock; counts where the runner was never silent.
+    :param now_s: boot clock time; used if the runner was never silent.
     """
     found = _started_within(runner, START_CRASH_WINDOW_S, now_s)
     latest_s = max((attempt.sent_at_s for attempt in found), default=0.0)
@@ -67,16 +68,16 @@
 
 
 def describe(attempts: t.Iterable[Attempt]) -> list[list[t.Any]]:
-    """Return the names and run numbers of attempts, for the logs."""
+    """Return the names and run numbers of attempts for the log."""
     return [[attempt.task.name, attempt.run] for attempt in attempts]
 
 
 @attrs.frozen
 class _Attribution:
-    """What the end of a runner is laid to.
+    """The attempts to which a runner exit is attributed.
 
-    :param exact: it is known that this had just been started there.
-    :param later: the runner had surely lived on after the start.
+    :param exact: the attempts are known to have been started last before the exit.
+    :param later: the runner certainly stayed alive after the start.
     """
 
     blamed: t.Sequence[Attempt]
@@ -85,12 +86,12 @@
 
     @property
     def at_start(self) -> bool:
-        """Whether the start of what is blamed explains the end."""
+        """Whether the start of the blamed attempts explains the exit."""
         return self.exact and bool(self.blamed) and not self.later
 
     @property
     def one_job_there(self) -> bool:
-        """Whether all that is blamed is of one job, and has surely begun there."""
+        """Whether the blamed attempts belong to one job and certainly began there."""
         jobs = {id(attempt.task.step.occurrence.job) for attempt in self.blamed}
         return len(jobs) == 1 and all(
             attempt.first_confirmed_ms for attempt in self.blamed
@@ -98,7 +99,7 @@
 
 
 class Crashes:
-    """Counts the ends of runners against the tasks that may have brought them about."""
+    """Counts runner exits against the tasks that may have caused them."""
 
     def __init__(self, ledger: Ledger, settings: EngineSettings) -> None:
         self._ledger = ledger
@@ -106,7 +107,7 @@
         self._stability = PoolStability(settings.unsteady_ends)
 
     def suspect(self, runner: RunnerState) -> None:
-        """Doubt what a runner began as it fell silent, until it is heard again."""
+        """Suspect the runs started last before a runner's silence, until it answers."""
         if runner.hung:
             return
         for attempt in started_last(runner, boot_s()):
@@ -114,15 +115,15 @@
 
     @staticmethod
     def may_copy(task: Task) -> bool:
-        """Whether a copy of a task may be started before its run's end is sure.
+        """Whether a task may be copied before the end of its current run is certain.
 
-        One that silenced two runners, or one after it had ended one, waits until their
-        fate is known.
+        A task that silenced two runners, or one runner after it had crashed another
+        one, waits until it is known whether they exited.
         """
         return task.lost_runners + sum(a.suspected for a in task.attempts) < 2
 
     def on_runner_response(self, runner: RunnerState) -> None:
-        """Take it that a runner lives: it was cut off, and nothing crashed it."""
+        """Clear the suspicions: the runner was unreachable and did not crash."""
         for attempt in runner.attempts.values():
             attempt.suspected = False
         for blame in runner.blamed:
@@ -139,7 +140,7 @@
         self._ledger.changed(task.step.occurrence.job)
 
     def clear_crashes(self, task: Task) -> None:
-        """Take it that a run of a task ended, or went on, without harm."""
+        """Reset a task's counts: one of its runs ended or continued harmlessly."""
         if not task.lost_runners:
             return
         task.crashes = task.later_ends = 0
@@ -147,18 +148,18 @@
         self._ledger.changed(task.step.occurrence.job)
 
     def clear_crashes_if_stable(self, attempt: Attempt) -> None:
-        """Acquit the task of a run that its runner has listed for long enough."""
+        """Reset the counts if the task's runner has listed the run for long enough."""
         if not attempt.task.lost_runners or not attempt.began_at_s:
             return
         if boot_s() - attempt.began_at_s > STABLE_RUN_S:
             self.clear_crashes(attempt.task)
 
-    # Ends.
+    # Runner exits.
 
     def attribute_exit(self, runner: RunnerState) -> list[Task]:
-        """Lay a runner's end to tasks; return those that are to be given up.
+        """Attribute a runner exit to tasks; return those to be given up.
 
-        What we ordered, or the runner announced, is no crash.
+        An exit that this daemon ordered or the runner announced is not a crash.
         """
         if runner.draining or runner.reserved:
             return []
@@ -175,7 +176,7 @@
         ]
 
     def _attribute(self, runner: RunnerState) -> _Attribution:
-        """Return what a runner's end is laid to."""
+        """Return the attempts to which a runner exit is attributed."""
         now_s = boot_s()
         exact = not runner.hung and bool(started_last(runner, now_s))
         candidates = self._candidates(runner, now_s, exact)
@@ -185,7 +186,7 @@
         return _Attribution(candidates, exact, later=True)
 
     def attribute_orphan_exit(self, attempt: Attempt) -> list[Task]:
-        """Do the same for a run on a runner that was gone before this holder came."""
+        """Attribute the exit of a runner that was gone before this holder started."""
         if not self._may_be_at_fault(attempt):
             return []
         pool = attempt.task.step.occurrence.job.service
@@ -199,14 +200,14 @@
     def _candidates(
         self, runner: RunnerState, now_s: float, exact: bool
     ) -> list[Attempt]:
-        """Return what may have ended a runner.
+        """Return the attempts that may have caused a runner's exit.
 
-        :param exact: it is known what was started last before its end.
+        :param exact: it is known which attempts were started last before the exit.
         """
         if exact:
             found = started_last(runner, now_s)
         else:
-            # Of an earlier holder's runs it is not known when they began.
+            # The start times of an earlier holder's runs are unknown.
             unknown = [
                 attempt
                 for attempt in runner.attempts.values()
@@ -217,7 +218,7 @@
 
     @staticmethod
     def _may_be_at_fault(attempt: Attempt) -> bool:
-        # A run that waits for its stop on the next life was not started there.
+        # A run that awaits its stop on the next incarnation was not started there.
         over = attempt.task.step.occurrence.job.over or attempt.blamed
         return not over and attempt.phase is not Phase.PLANNED
 
@@ -227,9 +228,9 @@
         attribution: _Attribution,
         runner: RunnerState | None = None,
     ) -> None:
-        """Count an end against a task, and have it run apart where that is telling.
+        """Count an exit against a task, and put the task on probation where useful.
 
-        :param runner: what has ended; None: not known here.
+        :param runner: the runner that exited; None if this holder does not know it.
         """
         task = attempt.task
         attempt.blamed = True
@@ -240,7 +241,7 @@
         task.on_probation = (
             task.on_probation or attribution.exact or task.lost_runners > 1
         )
-        # The next holder must not count this end again.
+        # The next holder must not count this exit again.
         self._ledger.changed(task.step.occurrence.job)
         self._ledger.count("crashed")
         log.info(
@@ -266,13 +267,13 @@
 
 
 def _is_outlived(attempt: Attempt, runner: RunnerState) -> bool:
-    """Whether a runner surely lived on for a while after the start of a run."""
+    """Whether a runner certainly stayed alive for a while after a run's start."""
     outlived_ms = runner.outlived_ms(attempt)
     return outlived_ms is not None and outlived_ms >= MIN_OUTLIVED_MS
 
 
 def _silent_s_after(attempt: Attempt, runner: RunnerState | None) -> float | None:
-    """Return how long after its start was sent the runner of a run fell silent."""
+    """Return the time between a run's start order and its runner's silence."""
     if runner is None or runner.silent_at_s is None or not attempt.sent_at_s:
         return None
     return round(runner.silent_at_s - attempt.sent_at_s, 3)
