--- a/src/streamthread/scheduler/fleet.py
+++ b/src/streamthread/scheduler/fleet.py
@@ -1,4 +1,4 @@
-"""What the scheduler knows of the runners it may use."""
+"""The scheduler's view of the runners that it may use."""
 
 import typing as t
 
@@ -16,26 +16,28 @@
 
 @attrs.define(eq=False)
 class RunnerState:
-    """One life of a runner, with the room that its attempts take.
+    """One incarnation of a runner, with the resources that its attempts use.
 
-    :param ready: it may get new tasks: heard lately, held, not draining.
-    :param heard: it has answered a call of this holder, so that it is known what
-        runs there.
+    :param ready: the runner may get new tasks: it answered recently, a hold call
+        renews its leases, and it is not draining.
+    :param heard: the runner has answered a call of this holder, so its runs are known.
     :param reserved: a move or an upkeep was ordered for its machine.
-    :param emptying: it is to be emptied, so that its machine can go into upkeep.
-    :param clock_ms: the latest time on its clock that an answer of it told; 0: none.
-    :param silent_at_s: on the boot clock: since when it has not answered; None: it
-        answers.
-    :param hung: it fell silent with its connections open: since when is not known.
-    :param blamed: what its end was laid to when what ran there lapsed.
-    :param probation_job: whose tasks alone it may get until ``probation_until_s`` on
-        the boot clock; they may end their runners.
-    :param stray_runs: runs there that no attempt of ours explains.
-    :param born_ms: when this life began, in ms since 1970; None: not told.
-    :param earlier_born_ms: when the lives before it under this id began.
-    :param failed_at_s: wall times at which tasks failed or lagged there lately.
-    :param penalty_until_s: wall time; many tasks failed or lagged there; used last
-        until then.
+    :param emptying: the runner is to be emptied so that its machine can go into upkeep.
+    :param clock_ms: the latest time on the runner's clock that one of its answers
+        reported; 0 if there is none.
+    :param silent_at_s: boot clock time since when the runner has not answered; None if
+        it answers.
+    :param hung: the runner became silent with open connections, so it is unknown since
+        when.
+    :param blamed: what the runner's exit was attributed to when its runs expired.
+    :param probation_job: the only job whose tasks the runner may get until
+        ``probation_until_s`` on the boot clock, because they may crash their runners.
+    :param stray_runs: the number of runs there that match no attempt.
+    :param born_ms: start time of this incarnation in ms since 1970; None if unknown.
+    :param earlier_born_ms: start times of the earlier incarnations under this id.
+    :param failed_at_s: wall times at which tasks recently failed or lagged there.
+    :param penalty_until_s: wall time until which the runner is used only as a last
+        choice, because many tasks failed or lagged there.
     """
 
     runner_id: str
@@ -70,7 +72,7 @@
 
     @classmethod
     def from_entry(cls, entry: RunnerEntry) -> "RunnerState":
-        """Return a life of a runner as it describes itself; it is not ready yet."""
+        """Return an incarnation from a runner's own entry; it is not ready yet."""
         return cls(
             runner_id=entry.runner_id,
             service=entry.service,
@@ -87,11 +89,11 @@
 
     @property
     def incarnation(self) -> RunnerIncarnation:
-        """What tells this life from others under its id."""
+        """The identity that distinguishes incarnations under the same id."""
         return RunnerIncarnation(self.runner_id, self.born_ms)
 
     def next_incarnation(self, born_ms: int) -> "RunnerState":
-        """Return the life after this one, as far as it is known before its entry."""
+        """Return the next incarnation, with what is known of it before its entry."""
         return RunnerState(
             runner_id=self.runner_id,
             service=self.service,
@@ -106,40 +108,41 @@
         )
 
     def is_next_incarnation(self, born_ms: int | None) -> bool:
-        """Whether one that began then has taken the place of this life."""
+        """Whether an incarnation born then has replaced this one."""
         if born_ms is None or self.born_ms is None:
             return False
         return born_ms != self.born_ms and born_ms not in self.earlier_born_ms
 
     @property
     def rack(self) -> str:
-        """The label of the rack it stands in."""
+        """The label of the rack in which the runner is placed."""
         return rack_of(self.labels)
 
     @property
     def free_cpu(self) -> int:
-        """Thousandths of a core that no attempt takes."""
+        """Free cpu in thousandths of a core."""
         return self.cpu - self.used_cpu
 
     @property
     def free_memory_mb(self) -> int:
-        """Memory that no attempt takes."""
+        """Free memory."""
         return self.memory_mb - self.used_memory_mb
 
     @property
     def free_gpu(self) -> int:
-        """Accelerators that no attempt takes."""
+        """Free accelerators."""
         return self.gpu - self.used_gpu
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of ours is there."""
+        """Whether no run is on the runner, neither an attempt nor a stray run."""
         return not self.attempts and not self.stray_runs
 
     def update(self, entry: RunnerEntry) -> bool:
-        """Take what a runner says of itself now; return whether its room has changed.
+        """Apply a runner's new entry; return whether its capacity changed.
 
-        What runs over a room that has shrunk goes on, and nothing is added to it.
+        If the capacity has shrunk below what is in use, the runs continue and no new
+        ones are added.
         """
         before = (self.cpu, self.memory_mb, self.gpu)
         self.service, self.address = entry.service, entry.address
@@ -149,13 +152,14 @@
         return before != (self.cpu, self.memory_mb, self.gpu)
 
     def on_clock(self, clock_ms: int) -> None:
-        """Note its clock at an answer; answers may come out of order."""
+        """Record the clock of an answer; answers may arrive out of order."""
         self.clock_ms = max(self.clock_ms, clock_ms)
 
     def outlived_ms(self, attempt: Attempt) -> int | None:
-        """Return for how long it surely lived on after a run was there, by its clock.
+        """Return how long the runner certainly stayed alive after a run existed.
 
-        None: it never said that the run is there.
+        The time is measured on the runner's clock. None means that the runner never
+        confirmed the run.
         """
         return (
             self.clock_ms - attempt.first_confirmed_ms
@@ -164,7 +168,7 @@
         )
 
     def add(self, name: str, attempt: Attempt) -> None:
-        """Take room for an attempt."""
+        """Reserve resources for an attempt."""
         self.attempts[name, attempt.run] = attempt
         request = attempt.task.step.request
         self.used_cpu += attempt.task.step.reserved_cpu
@@ -172,7 +176,7 @@
         self.used_gpu += request.gpu
 
     def remove(self, name: str, attempt: Attempt) -> None:
-        """Give an attempt's room back."""
+        """Release an attempt's resources."""
         if self.attempts.pop((name, attempt.run), None) is None:
             return
         request = attempt.task.step.request
@@ -181,7 +185,7 @@
         self.used_gpu -= request.gpu
 
     def fits(self, cpu: int, memory_mb: int, gpu: int) -> bool:
-        """Whether there is room for so much more."""
+        """Whether these resources are free."""
         return (
             self.used_cpu + cpu <= self.cpu
             and self.used_memory_mb + memory_mb <= self.memory_mb
@@ -189,7 +193,7 @@
         )
 
     def count_fitting(self, cpu: int, memory_mb: int, gpu: int, max_count: int) -> int:
-        """Return for how many tasks of one kind there is room, ``most`` at most."""
+        """Return how many tasks of one kind fit, at most ``max_count``."""
         count = max(0, max_count)
         if cpu:
             count = min(count, self.free_cpu // cpu)
@@ -200,11 +204,11 @@
         return max(0, count)
 
     def usable(self) -> bool:
-        """Whether it may get new tasks."""
+        """Whether the runner may get new tasks."""
         return self.usable_as_last_resort() and not self.emptying
 
     def usable_as_last_resort(self) -> bool:
-        """Whether it may get tasks that have waited for too long elsewhere."""
+        """Whether the runner may get tasks that have waited too long elsewhere."""
         return (
             self.ready
             and not self.draining
