--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -1,4 +1,4 @@
-"""Sends starts and stops until their outcome is known."""
+"""Sends start and stop orders until their outcome is known."""
 
 import asyncio
 from abc import ABC
@@ -28,22 +28,24 @@
 log = logbook.Logger("streamthread.orders")
 
 PROBATION_CHECK_S = 0.06
-"""A run on trial is looked at so long after its start: a run that takes its runner down
-does so within some 10 ms."""
+"""The delay after its start at which a run on probation is checked. A run that crashes
+its runner does so within some 10 ms."""
 
 MAX_ORDER_DELAY_S = 12.0
-"""An order without an answer may be carried out so much later, as the users describe
-their troubles. Lists do not tell the pace, so that nothing shows it earlier."""
+"""An unanswered order may be carried out this much later, according to the users'
+description of their failures. Lists do not contain the pace, so nothing shows it
+earlier."""
 
 
 @attrs.frozen
 class OrderSettings:
-    """How orders are sent.
+    """Timing of orders.
 
-    :param answer_s: an order without an answer for longer is sent again.
-    :param retry_s: pause before it is sent again.
-    :param silent_retry_s: the same of a stop, while its runner answers nothing: eleven
-        runners that were gone were sent 145 stops a second.
+    :param answer_s: an order that has not been answered for longer is sent again.
+    :param retry_s: the pause before an order is sent again.
+    :param silent_retry_s: the pause before a stop is sent again while its runner
+        answers nothing. Without this longer pause, eleven runners that were gone were
+        sent 145 stops a second.
     """
 
     answer_s: float = 0.8
@@ -52,7 +54,7 @@
 
 
 class SenderOwner(ABC):
-    """What the sender needs of the holder."""
+    """The holder as seen by the order sender."""
 
     token: int
     links: dict[str, RunnerLink]
@@ -63,23 +65,23 @@
 
     @abstractmethod
     def ticket_for(self, attempt: Attempt) -> str:
-        """Return the ticket that a start must bring, or an empty text."""
+        """Return the ticket that a start must carry, or an empty string."""
 
     @abstractmethod
     def on_bad_ticket(self, attempt: Attempt) -> None:
-        """Learn that a runner has turned a ticket away."""
+        """Handle a runner's rejection of a ticket."""
 
     @abstractmethod
     def on_fenced(self, link: RunnerLink) -> None:
-        """Learn that a runner has seen a higher fencing token."""
+        """Handle a runner's report that it has seen a higher fencing token."""
 
     @abstractmethod
     def on_life_over(self, link: RunnerLink, why: str) -> None:
-        """Learn that a runner's life has ended."""
+        """Handle the end of a runner incarnation."""
 
     @abstractmethod
     def kick(self) -> None:
-        """Have the queue looked at again."""
+        """Wake up the processing of the queue."""
 
 
 class OrderSender:
@@ -123,12 +125,12 @@
             except LifeOverError:
                 attempt.open_starts -= 1
                 if not uncertain:
-                    # It surely began nowhere, so that no end can be laid to it.
+                    # It certainly began nowhere, so no exit is attributed to it.
                     attempt.sent_at_s = 0.0
                 self._end_life(link, "another life answered a start")
                 return
             except StoreUnavailableError:
-                # It was surely not sent.
+                # The order was certainly not sent.
                 attempt.open_starts -= 1
                 reply = None
                 if not uncertain:
@@ -138,7 +140,7 @@
                 reply = None
                 self._on_unanswered(attempt, link, sent_at_s)
             if link.over:
-                # Either life of the runner may have answered.
+                # Either incarnation of the runner may have answered.
                 reply = None
             if reply is not None and self._take_answer(attempt, link, reply, uncertain):
                 await self._check_probation(attempt, link)
@@ -182,10 +184,10 @@
         reply: OrderReply,
         uncertain: bool,
     ) -> bool:
-        """Return whether the order needs no further try."""
+        """Process an answer; return whether the order needs no further attempt."""
         refusal = reply.refusal
         if refusal is None or refusal is Refusal.OLD_RUN:
-            # An old run has ended there: the lists tell how, or that it is gone.
+            # An old run has ended there: the lists show how, or omit it.
             self._engine.confirm(attempt, reply.clock_ms or 0)
             return True
         if refusal is Refusal.FENCED:
@@ -196,7 +198,7 @@
         if refusal is Refusal.BAD_TICKET:
             self._owner.on_bad_ticket(attempt)
         if uncertain:
-            # An earlier try may still be carried out: a stop rules that out.
+            # An earlier try may still be carried out; a stop prevents that.
             self._engine.stop(attempt, f"refused-{refusal.value}")
         else:
             self._engine.refuse(attempt, refusal.value)
@@ -207,10 +209,11 @@
 
     @staticmethod
     async def _check_probation(attempt: Attempt, link: RunnerLink) -> None:
-        """Ask the runner of a run on trial soon whether it has outlived the start.
+        """Check soon whether the runner of a run on probation survived the start.
 
-        Its next list comes only after the wait of the hold that is open, by when a
-        runner that ends by itself could not be told from one that the run took down.
+        The next list arrives only after the wait of the open hold call. By then, a
+        runner that exited on its own could not be told apart from one that the run
+        crashed.
         """
         if not attempt.task.suspect or attempt.phase is not Phase.CONFIRMED:
             return
@@ -227,7 +230,7 @@
     async def stop(self, attempt: Attempt) -> None:
         """Send a stop until the runner has answered it.
 
-        Whether it has worked is told by the runner's lists, not by the answer.
+        The runner's lists show whether the stop has worked; the answer does not.
         """
         stop = attempt.stop
         if stop is None:
@@ -248,7 +251,7 @@
         return self._settings.silent_retry_s if silent else self._settings.retry_s
 
     async def _send_stop_once(self, attempt: Attempt, stop: Stop) -> bool:
-        """Return whether the runner has answered, or can't be asked now."""
+        """Return whether the runner has answered or can't be reached now."""
         link = self._owner.links.get(attempt.runner_id)
         if link is None:
             return True
@@ -268,9 +271,10 @@
         return True
 
     async def pace(self, attempt: Attempt, percent: int) -> None:
-        """Set a run's pace, once; the next list decides anew.
+        """Set a run's pace once; the next list decides again.
 
-        It is set again at each list while an earlier one may still come after it.
+        The pace is set again at each list while an earlier order may still take effect
+        after it.
         """
         link = self._owner.links.get(attempt.runner_id)
         if link is None or link.silent:
@@ -305,7 +309,7 @@
             attempt.pace_answered(percent, sent_at_s)
 
     async def stop_stray(self, stray: Stray) -> None:
-        """Stop a run that should not be there, once; the lists bring it again."""
+        """Stop a run that should not exist, once; the next list reports it again."""
         link = self._owner.links.get(stray.runner_id)
         if link is None:
             return
@@ -318,11 +322,11 @@
     async def _send_stop(
         self, link: RunnerLink, task: str, run: int, log_unanswered: bool = True
     ) -> OrderReply | None:
-        """Send a stop once; return None where it got no answer.
+        """Send a stop once; return None if it got no answer.
 
-        :param tell: log that it got none. Of a stop that is sent again and again only
-            the first try is told: 338 of 529 lines in 2.3 s were such tries, beside
-            11 runners that were gone.
+        :param log_unanswered: whether to log a missing answer. Of a stop that is sent
+            repeatedly, only the first try is logged: with 11 runners that were gone,
+            338 of 529 log lines in 2.3 s were such tries.
         """
         await self._owner.until_trusted()
         try:
