--- a/src/streamthread/scheduler/outcomes.py
+++ b/src/streamthread/scheduler/outcomes.py
@@ -1,4 +1,4 @@
-"""What runners say of their runs, and what follows for tasks and jobs."""
+"""Processes what runners report about their runs, for tasks and jobs."""
 
 import time
 import typing as t
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Stray:
-    """A run that a runner has and that no attempt of ours explains."""
+    """A run that exists on a runner but matches no attempt of this holder."""
 
     runner_id: str
     task: str
@@ -36,7 +36,7 @@
 
 
 class Outcomes:
-    """Takes the runners' answers and lists into the ledger."""
+    """Applies the runners' answers and lists to the ledger."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
     # Answers to orders.
 
     def confirm(self, attempt: Attempt, clock_ms: int) -> None:
-        """A runner has said that a run is there."""
+        """Handle a runner's confirmation that it has a run."""
         if attempt.phase is not Phase.STOPPING:
             attempt.phase = Phase.CONFIRMED
         attempt.confirmed_clock_ms = clock_ms
@@ -69,7 +69,7 @@
             self._ledger.changed(job)
 
     def refuse(self, attempt: Attempt, why: str) -> None:
-        """A runner has said that it did not start a run, and will not."""
+        """Handle a runner's answer that it did not and will not start a run."""
         runner = self._ledger.runners.get(attempt.runner_id)
         task = attempt.task
         self._ledger.count(f"refused-{why}")
@@ -91,7 +91,7 @@
     # The two lists: what runs, and what has ended.
 
     def on_hold(self, runner: RunnerState, reply: HoldReply) -> list[Stray]:
-        """Take a runner's lists; return the runs that should not be there."""
+        """Process a runner's lists; return the runs that should not be there."""
         self._crashes.on_runner_response(runner)
         runner.on_clock(reply.clock_ms)
         for ended in reply.ended:
@@ -132,7 +132,7 @@
             task.checkpoint = checkpoint
 
     def _on_missing(self, runner: RunnerState, attempt: Attempt, clock_ms: int) -> None:
-        """A run that the runner confirmed is in neither of its newer lists."""
+        """Handle a confirmed run that is in neither of the runner's newer lists."""
         if attempt.phase not in (Phase.CONFIRMED, Phase.STOPPING):
             return
         known_ms = attempt.confirmed_clock_ms
@@ -148,9 +148,9 @@
         self._ledger.expire(attempt, runner)
 
     def _note_unlisted(self, attempt: Attempt, clock_ms: int) -> None:
-        """Tell once of a run that is left though its runner has not listed it for long.
+        """Log once that a run stays although it has not been listed for long.
 
-        For a moment this is usual: a list may be older than the run's confirmation.
+        A short gap is normal, because a list may be older than the run's confirmation.
         """
         now_s = boot_s()
         attempt.unlisted_since_s = attempt.unlisted_since_s or now_s
@@ -161,10 +161,10 @@
         log.warning("run-unlisted", extra=_describe_missing(attempt, clock_ms))
 
     def _may_be_stopping(self, attempt: Attempt, clock_ms: int) -> bool:
-        """Whether a run that is to be stopped may still take its room, unlisted.
+        """Whether an unlisted run that is to be stopped may still use resources.
 
-        Only its listed end frees the room; without one it is gone once a stop that
-        began after the last list with it must have worked.
+        Normally only its listed end frees the resources. Without one, the run is gone
+        once a stop that began after the last list containing it must have taken effect.
         """
         if attempt.phase is not Phase.STOPPING or not attempt.began_at_s:
             return False
@@ -199,12 +199,12 @@
         self._ledger.settle_job(job)
 
     def _on_unknown_end(self, ended: EndedRun) -> None:
-        """Take a `done` of a task that we know, whoever started the run."""
+        """Accept a `done` for a known task, regardless of who started the run."""
         task = self._ledger.find_task(ended.task)
         if task is None or ended.kind is not EndKind.DONE:
             return
         if task.state is TaskState.DONE or task.step.request.lasting:
-            # Whichever run of a lasting task ends, another one is to run.
+            # A long-running task is restarted whichever of its runs ends.
             return
         log.info("done-by-other-run", extra={"task": ended.task, "run": ended.run})
         self._mark_done(task)
@@ -223,7 +223,7 @@
         self._mark_done(task)
 
     def _mark_done(self, task: Task) -> None:
-        """Count a task as done; the end of one member of a gang stands for all."""
+        """Mark a task as done; the end of one gang member counts for all members."""
         members = task.step.tasks if task.step.request.gang else [task]
         for member in members:
             self._ledger.mark_done(member)
@@ -244,7 +244,7 @@
         self._ledger.requeue(task)
 
     def give_up(self, task: Task) -> None:
-        """Start a task no more under which too many runners have ended."""
+        """Stop starting a task under which too many runners have exited."""
         job = task.step.occurrence.job
         if task.state is TaskState.DONE or job.over:
             return
@@ -253,7 +253,7 @@
         self._ledger.settle_job(job)
 
     def _fail_job(self, task: Task) -> None:
-        """A task has failed too often: its job has failed, unless it is over."""
+        """Fail a task's job, unless the job is over: the task failed too often."""
         job = task.step.occurrence.job
         task.state = TaskState.FAILED
         if job.over:
@@ -274,7 +274,11 @@
         )
 
     def note_failure(self, runner: RunnerState) -> None:
-        """Use a runner last for a while when several tasks fail or lag there."""
+        """Record a failed or lagging task on a runner.
+
+        If several are recorded within the penalty interval, the runner is used only as
+        a last choice for a while.
+        """
         now_s = time.time()
         since_s = now_s - self._settings.penalty_s
         lately = [
@@ -286,7 +290,7 @@
 
 
 def _describe_missing(attempt: Attempt, clock_ms: int) -> dict[str, t.Any]:
-    """Return what the logs tell of a run that is in none of its runner's lists."""
+    """Return the log fields for a run that is in none of its runner's lists."""
     return {
         "task": attempt.task.name,
         "run": attempt.run,
--- a/src/streamthread/scheduler/stops.py
+++ b/src/streamthread/scheduler/stops.py
@@ -1,9 +1,9 @@
-"""Runs that are to be stopped: until their runners no longer list them.
+"""Runs that are to be stopped, until their runners no longer list them.
 
-A stop is settled by the runner's lists alone. An answer says that the runner has taken
-it, not that the run has ended; a refusal says that nothing was done. What is still
-listed once a stop must have worked gets its stop again, so that no lost, refused or
-ineffective order leaves a run behind that nobody wants.
+Only the runner's lists complete a stop. An answer means that the runner has accepted
+the stop, not that the run has ended; a refusal means that nothing was done. If a run is
+still listed after its stop must have taken effect, the stop is sent again, so that a
+lost, refused or ineffective order leaves no unneeded run behind.
 """
 
 import typing as t
@@ -19,15 +19,15 @@
 log = logbook.Logger("streamthread.scheduler")
 
 OVERDUE_S = 3.0
-"""Nothing of a cancelled job is to run for longer after its cancel (the users' pages);
-a stop takes 0.9 s at most."""
+"""No run of a cancelled job may continue for longer than this after the cancel,
+according to the users' documentation. A stop takes at most 0.9 s."""
 
 
 class Stops:
-    """Which runs are to be stopped, and for which of them a stop is to be sent now.
+    """The runs to be stopped, and those whose stop is due to be sent.
 
-    :param effect_ms: on the runner's clock: what it still lists so long after it took a
-        stop was not stopped by it.
+    :param effect_ms: measured on the runner's clock. A run that is still listed this
+        long after the runner accepted a stop was not stopped by it.
     """
 
     def __init__(self, effect_ms: int) -> None:
@@ -38,12 +38,12 @@
 
     @property
     def count(self) -> int:
-        """How many runs are to be stopped."""
+        """The number of runs that are to be stopped."""
         return len(self._stopping)
 
     @property
     def waiting(self) -> bool:
-        """Whether there are stops that nobody has taken to send them."""
+        """Whether there are stops that have not been taken for sending."""
         return bool(self._to_send)
 
     def request_stop(self, attempt: Attempt, reason: str) -> None:
@@ -56,7 +56,7 @@
         log.info("run-to-stop", extra=_describe(attempt))
 
     def request_stop_again(self, attempt: Attempt, reason: str) -> None:
-        """Have a run stopped whose runner has started again and knows of no stop."""
+        """Have a run stopped whose runner has restarted and knows of no stop."""
         if attempt.stop is None:
             self.request_stop(attempt, reason)
             return
@@ -65,12 +65,12 @@
             self._queue(attempt)
 
     def read_back(self, attempt: Attempt) -> None:
-        """Take a run of an earlier holder; who sees its runner sends the stop."""
+        """Add a run of an earlier holder; its stop is sent once its runner is seen."""
         if attempt.stop is not None:
             self._stopping.add(attempt)
 
     def forget(self, attempt: Attempt) -> None:
-        """Take it that a run is over."""
+        """Remove a run that is over."""
         self._stopping.discard(attempt)
 
     def _queue(self, attempt: Attempt) -> None:
@@ -79,16 +79,17 @@
         self._to_send.append(attempt)
 
     def take(self) -> list[Attempt]:
-        """Return the runs for which a stop is to be sent; who takes them sends it."""
+        """Return the runs whose stop is due to be sent; the caller sends it."""
         taken, self._to_send = self._to_send, []
         return taken
 
     def on_listed(self, attempt: Attempt, clock_ms: int) -> None:
-        """Take it that a runner lists a run, by its clock at that moment.
+        """Handle that a runner lists a run, with its clock at that time.
 
-        Where a run might as well go on, it does, and whoever wanted it elsewhere
-        decides anew: what allowed the stop then may have changed, such as the other
-        tasks of its step being at work.
+        If the run is still needed and every stop order has been answered, the run
+        continues, and whoever requested its stop decides again. The reason that
+        permitted the stop may no longer apply, for example that the other tasks of its
+        step are running.
         """
         stop = attempt.stop
         if stop is None or stop.under_way:
@@ -103,31 +104,32 @@
             self._stopping.discard(attempt)
 
     def on_missing(self, attempt: Attempt) -> None:
-        """Take it that a runner does not list a run.
+        """Handle that a runner does not list a run.
 
-        Its start may still come, unless the runner has taken a stop before.
+        Its start may still be carried out, unless the runner has accepted a stop
+        before.
         """
         stop = attempt.stop
         if stop is None or stop.under_way or stop.answered_ms:
             return
         if not attempt.must_end:
-            # It began, so that this list is an older one, or tells of its end.
+            # The run began, so this list is older than it or reports its end.
             return
         log.warning("stop-without-effect", extra=_describe(attempt))
         self._queue(attempt)
 
     @staticmethod
     def on_refused(attempt: Attempt, why: str) -> None:
-        """Take it that a runner has refused a stop: its next list tells the rest."""
+        """Log that a runner refused a stop; its next list decides what follows."""
         log.warning("stop-refused", extra=_describe(attempt) | {"why": why})
 
     @property
     def overdue(self) -> int:
-        """How many runs had been to be stopped for too long, at the last look."""
+        """The number of overdue stops at the last call of `log_overdue`."""
         return len(self._logged_overdue)
 
     def log_overdue(self) -> None:
-        """Tell of each run that has been to be stopped for too long, once."""
+        """Log each overdue stop once."""
         since_s = boot_s() - OVERDUE_S
         overdue = {
             attempt.stop: attempt
@@ -141,7 +143,7 @@
 
 
 def _describe(attempt: Attempt) -> dict[str, t.Any]:
-    """Return what the logs tell of a run that is to be stopped."""
+    """Return the log fields for a run that is to be stopped."""
     stop = attempt.stop
     assert stop is not None
     now_s = boot_s()
