--- a/src/streamthread/scheduler/lags.py
+++ b/src/streamthread/scheduler/lags.py
@@ -1,4 +1,4 @@
-"""What follows for runs that lag behind, and for those on silent runners."""
+"""Handles lagging runs and runs on silent runners."""
 
 import logbook
 
@@ -25,10 +25,10 @@
 
 
 class LagMonitor:
-    """Has runs that lag behind done elsewhere, too: by a copy, or after a stop.
+    """Has lagging runs done elsewhere, by a speculative copy or after a stop.
 
-    A copy runs beside the first run, where the step allows it; no other task may run
-    twice at a time.
+    A speculative copy runs beside the first run if the step allows it. No other task
+    may run twice at the same time.
     """
 
     def __init__(
@@ -46,9 +46,9 @@
         self._settings = settings
 
     def request_copies(self, runner_id: str) -> bool:
-        """Have copies run elsewhere of what a silent runner has, where steps allow.
+        """Request speculative copies of a silent runner's runs where steps allow it.
 
-        :return: whether some copy is wanted that was not before.
+        :return: whether a copy was requested that was not requested before.
         """
         runner = self._ledger.runners.get(runner_id)
         if runner is None:
@@ -61,7 +61,7 @@
         return any(wanted)
 
     def watch(self) -> bool:
-        """Copy or move runs that lag behind; return whether any do."""
+        """Copy or move runs that lag; return whether there were any."""
         found = False
         for runner in list(self._ledger.runners.values()):
             if not runner.ready or not runner.attempts:
@@ -74,7 +74,7 @@
         return found
 
     def _replace_run(self, attempt: Attempt, runner: RunnerState, lag: Lag) -> bool:
-        """Have a lagging run done elsewhere, if there is room."""
+        """Have a lagging run done elsewhere if there is free capacity."""
         task = attempt.task
         if task.step.request.speculative:
             return self._request_copy(attempt, runner, lag.value)
@@ -91,7 +91,7 @@
         return True
 
     def _request_copy(self, attempt: Attempt, runner: RunnerState, why: str) -> bool:
-        """Have one more run of a task placed, if it may have one and has none."""
+        """Request a speculative copy of a task if it may have one and has none."""
         task = attempt.task
         request = task.step.request
         if len(task.attempts) != 1 or task.copy_requested:
@@ -133,5 +133,5 @@
 
 
 def _age_s(attempt: Attempt) -> float:
-    """Return for how long a run has been there; 0: not known to have begun."""
+    """Return how long a run has existed; 0 if it is not known to have begun."""
     return boot_s() - attempt.began_at_s if attempt.began_at_s else 0.0
--- a/src/streamthread/scheduler/progress.py
+++ b/src/streamthread/scheduler/progress.py
@@ -1,4 +1,4 @@
-"""Runs that lag behind, as far as the runners' lists tell."""
+"""Detects lagging runs from the progress in the runners' lists."""
 
 import enum
 
@@ -13,7 +13,7 @@
 
 
 class Lag(enum.Enum):
-    """Why a run is better done elsewhere; the values are in the logs."""
+    """Why a run should be done elsewhere; the values are in the logs."""
 
     STALLED = "stands-still"
     SLOW = "slow"
@@ -23,13 +23,16 @@
 class ProgressSettings:
     """When a run counts as lagging.
 
-    :param judge_s: a run is watched for at least so long: lists come every 0.8 s.
-    :param still_s: a run whose percent did not change for so long stands still;
-        those of the users take 5 s at most, so that a percent takes 50 ms.
-    :param slow_factor: a run that still needs this many times what a whole one
-        takes elsewhere is slow; the longest one of a kind takes 2.5 times the mean.
-    :param slow_extra_s: and this much more, for a stop and a start.
-    :param most_moves: a task is stopped for its lag so often at most.
+    :param judge_s: a run is observed for at least this long; lists arrive every 0.8 s.
+    :param still_s: a run whose progress has not changed for this long is stalled. The
+        users' runs take at most 5 s, so one percent takes 50 ms.
+    :param slow_factor: a run is slow if its remaining time exceeds this multiple of the
+        time that a whole run takes elsewhere. The longest run of a kind takes 2.5 times
+        the mean.
+    :param slow_extra_s: additional time for a stop and a start before a run counts as
+        slow.
+    :param most_moves: the maximum number of times that a task is stopped because it
+        lags.
     """
 
     judge_s: float = 0.7
@@ -42,12 +45,12 @@
 def detect_lag(
     attempt: Attempt, expected_s: float | None, settings: ProgressSettings
 ) -> Lag | None:
-    """Return why a run lags behind, or None: it does not, or is not known to.
+    """Return why a run lags, or None if it does not or this is unknown.
 
-    Only what its runner has said counts: a silent runner is judged elsewhere.
+    Only reports from the runner count; silent runners are handled elsewhere.
 
-    :param expected_s: how long such a run takes on a sound runner, where that was
-        learned; what callers estimate is too far off.
+    :param expected_s: the learned duration of such a run on a healthy runner, or None.
+        The callers' estimates are too inaccurate.
     """
     if not _is_monitored(attempt):
         return None
@@ -58,7 +61,7 @@
         return Lag.STALLED
     done = attempt.percent - attempt.first_percent
     if done <= 0 or expected_s is None or attempt.task.step.request.near_rack:
-        # Away from its data a run is slow for a good reason.
+        # A run that is far from its data is expected to be slow.
         return None
     left_s = (COMPLETE_PERCENT - attempt.percent) * observed_s / done
     if left_s > settings.slow_factor * expected_s + settings.slow_extra_s:
@@ -67,7 +70,7 @@
 
 
 def _is_monitored(attempt: Attempt) -> bool:
-    """Whether a run goes on by itself, at full speed: others wait or yield."""
+    """Whether a run progresses on its own and at full speed; others wait or yield."""
     request = attempt.task.step.request
     if request.gang or request.lasting or request.fills:
         return False
