--- a/src/streamthread/scheduler/accounts.py
+++ b/src/streamthread/scheduler/accounts.py
@@ -1,4 +1,4 @@
-"""What runs of each client account, and how much more may run."""
+"""What each client account has running, and how much more it may run."""
 
 import typing as t
 
@@ -12,24 +12,24 @@
 __all__ = ["AccountUsage", "LimitSource", "Running", "may_see", "over_limit"]
 
 LimitSource = t.Callable[[str], Limit | None]
-"""Returns what an account may have running at once; None: it is not known."""
+"""Returns the limit on what an account may have running at once; None if unknown."""
 
 
 def may_see(account: str, owner: str) -> bool:
-    """Whether a caller's account may know of what an account has handed in.
+    """Whether a caller's account may see the submissions of another account.
 
-    Where either has none, the route needed no key, or a daemon or a job is older than
-    client accounts: nothing tells them apart.
+    If either account is empty, access is allowed: the route needed no key, or a daemon
+    or job predates client accounts, so the accounts can't be distinguished.
     """
     return not account or not owner or account == owner
 
 
 @attrs.define
 class Running:
-    """What runs of one account, or may run, on all runners.
+    """What one account runs, or may be running, on all runners.
 
     :param cpu: thousandths of a core.
-    :param tasks: how many runs that is.
+    :param tasks: the number of runs.
     """
 
     cpu: int = 0
@@ -38,14 +38,14 @@
     tasks: int = 0
 
     def add(self, request: StepRequest, runs: int) -> None:
-        """Count runs of a step; less than none of them: they are over."""
+        """Add runs of a step; a negative count removes runs that are over."""
         self.cpu += request.cpu * runs
         self.memory_mb += request.memory_mb * runs
         self.gpu += request.gpu * runs
         self.tasks += runs
 
     def count_fitting(self, request: StepRequest, limit: Limit, max_count: int) -> int:
-        """Return how many more runs of a step a limit allows, ``most`` at most."""
+        """Return how many more runs the limit allows, at most ``max_count``."""
         count = max_count
         for used, each, whole in (
             (self.cpu, request.cpu, limit.cpu),
@@ -58,13 +58,13 @@
 
 
 class AccountUsage:
-    """Holds each account to its limit, over all pools and runners.
+    """Enforces the limit of each account over all pools and runners.
 
-    A run counts from the moment at which it is decided until it is known to be over:
-    while its order is on its way, unanswered or late, while it is being stopped, while
-    its runner is silent, and under the next holder from its replay on. The decision is
-    durable before the order goes out, so whoever holds the cell counts all that may
-    run.
+    A run counts from the moment it is planned until it is known to be over. This
+    includes the time while its order is in transit, unanswered or late, while the run
+    is being stopped and while its runner is silent. The next holder counts it from its
+    replay on. The plan is durable before the order is sent, so every holder of the cell
+    counts all runs that may exist.
     """
 
     def __init__(self, limit_of: LimitSource) -> None:
@@ -72,11 +72,11 @@
         self.running: dict[str, Running] = {}
 
     def add(self, attempt: Attempt) -> None:
-        """Count a run that may run from now on."""
+        """Count a run that may exist from now on."""
         self._count(attempt, 1)
 
     def remove(self, attempt: Attempt) -> None:
-        """Count a run no more that is over."""
+        """Stop counting a run that is over."""
         self._count(attempt, -1)
 
     def _count(self, attempt: Attempt, runs: int) -> None:
@@ -90,11 +90,11 @@
             del self.running[account]
 
     def of(self, account: str) -> Running:
-        """Return what runs of an account, or may run."""
+        """Return what an account runs or may be running."""
         return self.running.get(account) or Running()
 
     def limit_of(self, account: str) -> Limit | None:
-        """Return what an account may have running at once; None: it is not known."""
+        """Return an account's limit on what it may run at once; None if unknown."""
         return self._limit_of(account) if account else None
 
     def count_fitting(self, job: Job, request: StepRequest, max_count: int) -> int:
@@ -106,9 +106,9 @@
 
 
 def over_limit(job: Job, limit: Limit | None) -> str:
-    """Return why a job can never run under its account's limit, or an empty text.
+    """Return why a job can never run under its account's limit, or an empty string.
 
-    A gang runs whole, any other task by itself.
+    A gang runs as a whole, any other task on its own.
     """
     if limit is None:
         return ""
--- a/src/streamthread/scheduler/learning.py
+++ b/src/streamthread/scheduler/learning.py
@@ -1,4 +1,4 @@
-"""Run times learned per image, since what callers estimate is far off."""
+"""Run times learned per image, since the callers' estimates are far off."""
 
 import attrs
 
@@ -8,13 +8,13 @@
 __all__ = ["RunTimes", "learning_key", "request_key"]
 
 WEIGHT = 0.25
-"""Of the newest run in the moving mean: four runs outweigh what was before."""
+"""Weight of the newest run in the moving mean; four runs outweigh all earlier ones."""
 
 DEFAULT_S = 1.0
-"""Where neither a run nor an estimate is known."""
+"""The expected run time if neither a run nor an estimate is known."""
 
 ESTIMATE_WEIGHT_RUNS = 2
-"""So many runs of an image count more than the caller's estimate."""
+"""From this number of runs of an image, their mean replaces the caller's estimate."""
 
 
 @attrs.define
@@ -30,7 +30,7 @@
     _means: dict[str, _Mean] = attrs.field(factory=dict)
 
     def learn(self, key: str, took_s: float) -> None:
-        """Take the run time of a task that ended done."""
+        """Add the run time of a task that completed."""
         mean = self._means.get(key)
         if mean is None:
             self._means[key] = _Mean(took_s)
@@ -39,14 +39,14 @@
         mean.count += 1
 
     def learned_s(self, key: str) -> float | None:
-        """Return how long a task runs, or None where that is only estimated."""
+        """Return the learned run time, or None if there are too few runs."""
         mean = self._means.get(key)
         if mean is None or mean.count < ESTIMATE_WEIGHT_RUNS:
             return None
         return mean.value_s
 
     def expect_s(self, key: str, estimate_ms: float) -> float:
-        """Return how long a task probably runs."""
+        """Return the probable run time of a task."""
         learned_s = self.learned_s(key)
         if learned_s is not None:
             return learned_s
@@ -57,10 +57,10 @@
 
 
 def learning_key(step: StepRun) -> str:
-    """Return under what a step's run times are learned."""
+    """Return the key under which a step's run times are learned."""
     return request_key(step.occurrence.job.route, step.number, step.request)
 
 
 def request_key(route: str, number: int, request: StepRequest) -> str:
-    """Return under what the run times of a route's step are learned."""
+    """Return the key under which the run times of a route's step are learned."""
     return request.image or f"{route}/{number}"
--- a/src/streamthread/scheduler/ledger.py
+++ b/src/streamthread/scheduler/ledger.py
@@ -1,4 +1,4 @@
-"""All jobs and runners of a cell, and how tasks change between their states."""
+"""All jobs and runners of a cell, and the state transitions of tasks."""
 
 import time
 import typing as t
@@ -21,19 +21,20 @@
 log = logbook.Logger("streamthread.scheduler")
 
 TASK_NAME_PARTS = 4
-"""A task's name on the wire: job, time, step and task, separated by dots."""
+"""The parts of a task's name on the wire, separated by dots: job, occurrence, step and
+task."""
 
 
 class Ledger:
-    """What is kept of jobs and runners; each change is told where it is recorded.
+    """The jobs and runners that are in memory; reports changes to be recorded.
 
     :param changed: called with each job whose progress must be recorded.
     :param jobs: all jobs that are not forgotten, by job id.
-    :param open: the jobs of which something may still run, by job id.
-    :param runners: the lives of runners that are listed, by runner id.
+    :param open: the jobs that may still have runs, by job id.
+    :param runners: the listed runner incarnations, by runner id.
     :param stops: the runs that are to be stopped.
-    :param accounts: what runs of each client account.
-    :param counts: how often runs ended, were refused or lapsed.
+    :param accounts: the resources in use by each client account.
+    :param counts: how often runs ended, were refused or expired.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
     # Jobs.
 
     def add(self, job: Job) -> None:
-        """Take a job, new or read back, with the attempts that it brings."""
+        """Add a job, new or read back, with its attempts."""
         self.jobs[job.job_id] = job
         if job.over and not job.has_attempts():
             return
@@ -70,7 +71,7 @@
                 runner.add(attempt.task.name, attempt)
 
     def forget(self, before_s: float) -> list[Job]:
-        """Drop the jobs that ended before a wall time and return them."""
+        """Remove the jobs that ended before a wall time and return them."""
         old = [
             job
             for job in self.jobs.values()
@@ -83,12 +84,12 @@
         return old
 
     def drop(self, job: Job) -> None:
-        """Keep a job no more, of which nothing takes room."""
+        """Remove a job that uses no resources."""
         del self.jobs[job.job_id]
         self.open.pop(job.job_id, None)
 
     def find_task(self, name: str) -> Task | None:
-        """Return a task by its name on the wire, where its job is open."""
+        """Return a task by its name on the wire if its job is open."""
         parts = name.split(".")
         if len(parts) != TASK_NAME_PARTS:
             return None
@@ -102,7 +103,7 @@
             return None
 
     def settle_job(self, job: Job) -> None:
-        """Close the times and the job that have nothing left to run."""
+        """Close the occurrences and the job if they have nothing left to run."""
         if not job.over:
             for number, occurrence in list(job.occurrences.items()):
                 if occurrence.done:
@@ -138,7 +139,7 @@
     # Attempts.
 
     def plan(self, attempt: Attempt, runner: RunnerState) -> None:
-        """Give a task a new attempt, which takes room from now on."""
+        """Add a new attempt to a task; it uses resources from now on."""
         task = attempt.task
         task.attempts.append(attempt)
         task.state = TaskState.PLACED
@@ -146,7 +147,7 @@
         runner.add(task.name, attempt)
 
     def orphans(self) -> list[Attempt]:
-        """Return the attempts on runners that are not known here."""
+        """Return the attempts on runners that this holder does not know."""
         return [
             attempt
             for job in self.open.values()
@@ -155,7 +156,7 @@
         ]
 
     def expire(self, attempt: Attempt, runner: RunnerState | None) -> None:
-        """An attempt has surely lapsed: its task waits again."""
+        """Remove an attempt that has certainly expired; its task is queued again."""
         self.count("lapsed")
         self.remove(attempt, runner)
         self.requeue(attempt.task)
@@ -164,7 +165,7 @@
         self.settle_job(job)
 
     def remove(self, attempt: Attempt, runner: RunnerState | None) -> None:
-        """Take an attempt off its task, and off its runner where it is known."""
+        """Remove an attempt from its task, and from its runner if that is known."""
         self.stops.forget(attempt)
         task = attempt.task
         if attempt in task.attempts:
@@ -175,13 +176,13 @@
 
     @staticmethod
     def requeue(task: Task) -> None:
-        """Have a task placed anew once it has no attempt."""
+        """Have a task placed again once it has no attempt."""
         if task.state is TaskState.PLACED and not task.attempts:
             task.state = TaskState.WAITING
             task.waiting_since_s = boot_s()
 
     def mark_done(self, task: Task) -> None:
-        """Count a task as done and stop its other attempts."""
+        """Mark a task as done and stop its other attempts."""
         if task.state is TaskState.DONE:
             return
         task.state = TaskState.DONE
