--- a/src/streamthread/scheduler/codec.py
+++ b/src/streamthread/scheduler/codec.py
@@ -1,11 +1,11 @@
-"""Rows of jobs: what was handed in, and how far it has come.
+"""Encodes and decodes the two rows of a job: its submission and its progress.
 
-The first row is written at the hand-in, and anew while the job is over: once nothing
-of it runs any more, its end alone is kept, so that the next holder has less to read.
+The first row is written at submission and rewritten while the job is over. Once the job
+has no runs left, only its end is persisted, so that the next holder has less to read.
 
-The second row is rewritten at each change, so it is compact: of a step that has
-begun, one number tells which tasks are done, and only tasks with something to
-tell have an entry of their own.
+The second row is rewritten at each change, so it is compact: for a step that has begun,
+one number encodes which tasks are done, and only tasks with more state than that have
+an entry of their own.
 """
 
 import json
@@ -33,12 +33,12 @@
 Json = t.Any
 
 READ_BACK = "read-back"
-"""Why a run is to be stopped that an earlier holder left: its job is over, its task is
-done, or the life of its runner has ended."""
+"""The reason for stopping a run that an earlier holder left: its job is over, its task
+is done, or the incarnation of its runner has ended."""
 
 
 def encode_definition(job: Job) -> bytes:
-    """Encode what was handed in; of a job that is over, how it ended and no more."""
+    """Encode the submission; for a job that is over, only how it ended."""
     if job.over and not job.has_attempts():
         return _encode_ended(job)
     value: dict[str, Json] = {
@@ -74,7 +74,7 @@
 
 
 class _JobRow(msgspec.Struct):
-    """Either what was handed in, or how the job ended."""
+    """Either the submission or how the job ended."""
 
     route: str
     service: str
@@ -107,7 +107,7 @@
 
 
 class _StepRow(msgspec.Struct, array_like=True):
-    """``done`` is a hexadecimal number: bit N stands for task N."""
+    """``done`` is a hexadecimal number in which bit N stands for task N."""
 
     done: t.Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]+\Z")]
     tasks: list[_TaskRow]
@@ -127,9 +127,9 @@
 
 
 def decode_row(job_id: str, value: bytes) -> Job:
-    """Decode a job that has not begun, or one that is over.
+    """Decode a job that has not begun or one that is over.
 
-    :raises BadInputError: the row can't be read, or the job in it.
+    :raises BadInputError: the row or the job in it can't be read.
     """
     row = _JOBS.decode(value, job_id)
     if row.state is not None:
@@ -170,7 +170,7 @@
 
 
 def encode_progress(job: Job) -> bytes:
-    """Encode how far a job has come."""
+    """Encode a job's progress."""
     value: dict[str, Json] = {}
     if job.cancelled:
         value["cancelled"] = True
@@ -205,7 +205,7 @@
 def _encode_task(task: Task) -> list[Json]:
     attempts = [_encode_attempt(attempt) for attempt in task.attempts]
     row = [task.index, task.last_run, task.failures, task.checkpoint, attempts]
-    # Left out where they are 0, as they are of nearly all tasks: 2 bytes of some 30.
+    # Trailing zeros, which nearly all tasks have, are omitted: 2 bytes of some 30.
     if task.later_ends:
         return [*row, task.crashes, task.later_ends]
     return [*row, task.crashes] if task.crashes else row
@@ -219,14 +219,14 @@
 
 
 def restore_progress(job: Job, value: bytes) -> None:
-    """Bring a job to where its row says it was.
+    """Restore a job to the progress in its row.
 
-    Attempts that were recorded may or may not have been sent: they come back as
-    sent, and the runner is asked. Those of a job that is over, of a task that is
-    done, or that lost their runner come back as to be stopped: nobody may start them
-    any more, and the stop that the holder before sent may not have come.
+    Recorded attempts may or may not have been sent: they are restored as sent, and the
+    runner is asked. Attempts of a job that is over, of a task that is done, or whose
+    runner was lost are restored as to be stopped: they must not be started any more,
+    and a stop from the previous holder may not have arrived.
 
-    :raises UnreadableError: the row can't be read, or is not of this job.
+    :raises UnreadableError: the row can't be read or does not match this job.
     """
     row = _PROGRESS.decode(value, job.job_id)
     job.cancelled = row.cancelled
@@ -236,14 +236,14 @@
     job.done_times = set(row.done_times)
     for number, steps in row.times.items():
         if len(steps) != len(job.request.steps):
-            raise _progress_mismatch(job, number, "has another number of steps")
+            raise _progress_mismatch(job, number, "has a different number of steps")
         occurrence = job.begin(number)
         for step, step_row in zip(occurrence.steps, steps, strict=True):
             _restore_step(step, step_row)
 
 
 def _progress_mismatch(job: Job, number: int, message: str) -> UnreadableError:
-    """Return the error for progress that is not that of its job."""
+    """Return the error for progress that does not match its job."""
     return _PROGRESS.refuse_at(f"$.times[{number}]", message, job.job_id)
 
 
@@ -252,7 +252,7 @@
     done = int(row.done, 16)
     if done >> len(step.tasks):
         raise _progress_mismatch(
-            job, step.occurrence.number, "tells of tasks that are not there"
+            job, step.occurrence.number, "refers to tasks that do not exist"
         )
     for task in step.tasks:
         if done >> task.index & 1:
@@ -260,7 +260,7 @@
             step.done_count += 1
     for entry in row.tasks:
         if entry.index >= len(step.tasks):
-            message = "tells of tasks that are not there"
+            message = "refers to tasks that do not exist"
             raise _progress_mismatch(job, step.occurrence.number, message)
         _restore_task(step.tasks[entry.index], entry, job.over)
 
