--- a/src/streamthread/scheduler/stability.py
+++ b/src/streamthread/scheduler/stability.py
@@ -1,4 +1,4 @@
-"""Which pools have runners that end by themselves."""
+"""Detects pools whose runners exit on their own."""
 
 from ..clocks import boot_s
 from .model import RunnerIncarnation
@@ -6,13 +6,15 @@
 __all__ = ["PoolStability"]
 
 EXIT_WINDOW_S = 10.0
-"""Ends count for so long: a runner that goes down and up by turns does so within it."""
+"""How long a runner exit counts. A runner that repeatedly goes down and up does so
+within this time."""
 
 
 class PoolStability:
-    """Counts the ends of runners, by pool, that no start explains.
+    """Counts, by pool, the runner exits that no task start explains.
 
-    :param unsteady_ends: so many of them lately make a pool unsteady.
+    :param unsteady_ends: the number of recent exits from which a pool counts as
+        unstable.
     """
 
     def __init__(self, unsteady_ends: int) -> None:
@@ -20,12 +22,12 @@
         self._ended_at_s: dict[str, dict[RunnerIncarnation, float]] = {}
 
     def record_exit(self, pool: str, incarnation: RunnerIncarnation) -> None:
-        """Note that a runner of a pool has ended by itself, once for each life."""
+        """Record that a runner exited on its own, once for each incarnation."""
         self._forget_old(pool)
         self._ended_at_s.setdefault(pool, {}).setdefault(incarnation, boot_s())
 
     def is_unstable(self, pool: str) -> bool:
-        """Whether runners of a pool have ended by themselves lately."""
+        """Whether enough runners of a pool have recently exited on their own."""
         self._forget_old(pool)
         return len(self._ended_at_s.get(pool, ())) >= self._unsteady_ends
 
