--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -207,7 +207,7 @@
     now_s: float,
 ) -> list[Placement]:
     """Place a step's tasks, each on the fitting runner with the lowest cost."""
-    there = _count_per_runner(step)
+    placed_counts = _count_per_runner(step)
     job, clock_s = step.occurrence.job, boot_s()
     open_runners = [runner for runner in runners if accepts_job(job, runner, clock_s)]
     suspects = [task for task in waiting if task.suspect]
@@ -216,14 +216,16 @@
         waits_since_s = min(task.waiting_since_s for task in suspects)
         for_probation = probation_runners(job, runners, waits_since_s, clock_s)
     if step.request.same_rack or suspects or any(task.avoid for task in waiting):
-        return _fill_one_by_one(waiting, open_runners, for_probation, there, now_s)
-    return _fill_in_order(waiting, open_runners, there, now_s)
+        return _fill_one_by_one(
+            waiting, open_runners, for_probation, placed_counts, now_s
+        )
+    return _fill_in_order(waiting, open_runners, placed_counts, now_s)
 
 
 def _fill_in_order(
     waiting: t.Sequence[Task],
     runners: t.Sequence[RunnerState],
-    there: collections.Counter[str],
+    placed_counts: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
     """Place tasks that all have the same costs, visiting each runner once.
@@ -241,7 +243,7 @@
         if not left:
             break
         if request.most_per_runner:
-            left = min(left, request.most_per_runner - there[runner.runner_id])
+            left = min(left, request.most_per_runner - placed_counts[runner.runner_id])
         count = runner.count_fitting(cpu, request.memory_mb, request.gpu, left)
         tasks = waiting[len(placed) : len(placed) + count]
         placed.extend(Placement(task, runner) for task in tasks)
@@ -252,7 +254,7 @@
     waiting: t.Sequence[Task],
     runners: t.Sequence[RunnerState],
     for_probation: t.Sequence[RunnerState],
-    there: collections.Counter[str],
+    placed_counts: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
     """Place tasks whose costs differ, counting what earlier ones take.
@@ -263,7 +265,7 @@
     placed: list[Placement] = []
     for task in waiting:
         usable = for_probation if task.suspect else runners
-        best = _best_runner(task, usable, there, planned, now_s, placed)
+        best = _best_runner(task, usable, placed_counts, planned, now_s, placed)
         if best is None:
             if not task.avoid and not task.suspect:
                 break
@@ -276,14 +278,14 @@
 def _best_runner(
     task: Task,
     runners: t.Sequence[RunnerState],
-    there: collections.Counter[str],
+    placed_counts: collections.Counter[str],
     planned: collections.Counter[str],
     now_s: float,
     placed: t.Sequence[Placement],
 ) -> RunnerState | None:
     """Return the runner with capacity for one more task that has the lowest cost.
 
-    :param there: the number of the step's tasks that each runner already has.
+    :param placed_counts: the number of the step's tasks that each runner already has.
     :param planned: the number of tasks that this call adds to each runner.
     """
     request = task.step.request
@@ -295,7 +297,7 @@
         count = planned[runner.runner_id]
         if not _may_run_on(task, runner, len(runners)):
             continue
-        if limit and there[runner.runner_id] + count >= limit:
+        if limit and placed_counts[runner.runner_id] + count >= limit:
             continue
         if not runner.fits(
             cpu * (count + 1),
