--- a/src/streamthread/scheduler/__init__.py
+++ b/src/streamthread/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs in the holder's memory: what may run, where it goes, what became of it."""
+"""Jobs in the memory of the holder: what may run, its placement and its outcome."""
 
 from .codec import decode_row
 from .codec import encode_definition
--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -90,7 +90,7 @@
         return self.exact and bool(self.blamed) and not self.later
 
     @property
-    def one_job_there(self) -> bool:
+    def single_confirmed_job(self) -> bool:
         """Whether the blamed attempts belong to one job and certainly began there."""
         jobs = {id(attempt.task.step.occurrence.job) for attempt in self.blamed}
         return len(jobs) == 1 and all(
@@ -170,7 +170,9 @@
             runner.blamed.append(Blame(attempt.task, attribution.later))
             self._blame(attempt, attribution, runner)
         stable = not self._stability.is_unstable(runner.service)
-        conclusive = attribution.at_start and attribution.one_job_there and stable
+        conclusive = (
+            attribution.at_start and attribution.single_confirmed_job and stable
+        )
         return [
             a.task for a in attribution.blamed if self._is_at_fault(a.task, conclusive)
         ]
--- a/src/streamthread/scheduler/lags.py
+++ b/src/streamthread/scheduler/lags.py
@@ -13,8 +13,8 @@
 from .model import Phase
 from .model import Task
 from .outcomes import Outcomes
+from .placement import has_required_label
 from .placement import is_avoided
-from .placement import suits
 from .progress import detect_lag
 from .progress import Lag
 from .progress import ProgressSettings
@@ -110,7 +110,7 @@
     def _fits_elsewhere(self, task: Task, runner: RunnerState) -> bool:
         request = task.step.request
         return any(
-            suits(task.step, other)
+            has_required_label(task.step, other)
             and other.fits(request.cpu, request.memory_mb, request.gpu)
             for other in usable_runners(self._ledger.runners.values(), runner.service)
             if other is not runner and not is_avoided(task, other)
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -18,11 +18,11 @@
 __all__ = [
     "LargestFreeCapacity",
     "Placement",
+    "has_required_label",
     "is_avoided",
     "order_steps",
     "outlook",
     "place_step",
-    "suits",
     "urgency",
 ]
 
@@ -158,7 +158,8 @@
     suitable = [
         runner
         for runner in runners
-        if suits(step, runner) and (tickets is None or runner.runner_id in tickets)
+        if has_required_label(step, runner)
+        and (tickets is None or runner.runner_id in tickets)
     ]
     if not step.request.lasting:
         suitable = _without_penalized(suitable, now_s)
@@ -194,7 +195,7 @@
     return bool(task.avoid) and runner.incarnation in task.avoid
 
 
-def suits(step: StepRun, runner: RunnerState) -> bool:
+def has_required_label(step: StepRun, runner: RunnerState) -> bool:
     """Whether a runner has the label that a step requires."""
     needs = step.request.requires
     return not needs or needs in runner.labels
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -223,8 +223,8 @@
     Guard(
         "unsteady-pools-ask-for-more",
         "scheduler/crashes.py",
-        "attribution.at_start and attribution.one_job_there and stable",
-        "attribution.at_start and attribution.one_job_there",
+        "attribution.at_start and attribution.single_confirmed_job and stable",
+        "attribution.at_start and attribution.single_confirmed_job",
         (f"{CRASHES}::TestRunnersThatLivedOn",),
     ),
     Guard(
