--- a/src/streamthread/scheduler/tests/test_crashes.py
+++ b/src/streamthread/scheduler/tests/test_crashes.py
@@ -1,8 +1,9 @@
-"""Whom the end of a runner is laid to.
+"""Tests which tasks a runner exit is attributed to.
 
-One task among others takes down each runner that starts it. The schedules also have
-runners that end by themselves, fall silent and come back, and holders that change: the
-task is given up after a bounded number of starts, and no other one is.
+One task among others crashes each runner that starts it. The schedules also contain
+runners that exit on their own, become silent and come back, and changes of the holder.
+The faulty task is given up after a bounded number of starts, and no other task is given
+up.
 """
 
 import time
@@ -29,11 +30,12 @@
 BODY = b'{"spec":"x","steps":[{"count":1,"cpu":1000,"memMb":1}]}'
 
 MAX_STARTS = 5
-"""After the third runner, two starts more are borne (the users' pages)."""
+"""After the third crashed runner, two more starts are accepted (the users'
+documentation)."""
 
 
 class _Cell:
-    """An engine in virtual time, its runners, and one of its tasks at fault."""
+    """An engine in virtual time, its runners, and one faulty task."""
 
     def __init__(self, patch: pytest.MonkeyPatch, jobs: int, runners: int) -> None:
         self.now_s = 1000.0
@@ -74,7 +76,7 @@
         return attempt.task.step.occurrence.job is self.at_fault
 
     def end(self, runner: RunnerState, hung: bool = False) -> None:
-        """Let a runner fall silent now and be gone later; another one comes."""
+        """Make a runner silent now and let it exit later; a new runner replaces it."""
         runner.ready = False
         runner.silent_at_s = self.now_s
         runner.hung = hung
@@ -84,7 +86,7 @@
         self.new_runner()
 
     def finish(self, runner: RunnerState) -> None:
-        """Let what runs on a runner be done."""
+        """Let the runs on a runner complete."""
         ended = [
             EndedRun(number, a.task.name, a.run, EndKind.DONE, "")
             for number, a in enumerate(runner.attempts.values(), 1)
@@ -98,7 +100,7 @@
         self.engine.on_hold(runner, HoldReply(clock_ms, tuple(rows), ()))
 
     def crash_faulty_runner(self, placed: t.Sequence[Attempt]) -> None:
-        """End the runner that has just been given the task at fault."""
+        """End the runner that has just been given the faulty task."""
         for attempt in placed:
             if self.is_at_fault(attempt):
                 self.starts += 1
@@ -108,7 +110,7 @@
 
 
 def _next_holder(cell: _Cell, patch: pytest.MonkeyPatch, runners: int) -> _Cell:
-    """Return what the next holder reads of the task at fault, with other runners."""
+    """Return the next holder's cell with the faulty task's row and new runners."""
     row = encode_progress(cell.at_fault)
     after = _Cell(patch, jobs=1, runners=runners)
     after.at_fault.occurrences.clear()
@@ -124,7 +126,7 @@
 
 class TestOneTaskAtFault:
     @hypothesis.given(data=st.data())
-    def test_is_given_up_and_no_other(self, data: st.DataObject) -> None:
+    def test_is_given_up_and_no_other_task(self, data: st.DataObject) -> None:
         with pytest.MonkeyPatch.context() as patch:
             cell = _Cell(patch, jobs=6, runners=4)
             for turn in range(40):
@@ -142,7 +144,7 @@
             others = [j for j in cell.engine.jobs.values() if j is not cell.at_fault]
             assert not any(job.failed for job in others)
 
-    def test_is_counted_on_by_the_next_holder(self, patch: pytest.MonkeyPatch) -> None:
+    def test_next_holder_continues_the_count(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=3)
         cell.crash_faulty_runner(cell.place())
         next_one = _next_holder(cell, patch, runners=3)
@@ -151,10 +153,10 @@
             next_one.crash_faulty_runner(next_one.place())
         assert next_one.starts == 2
 
-    def test_is_given_up_where_no_holder_saw_it_start(
+    def test_is_given_up_if_no_holder_observed_its_start(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Each holder ends as well; the next finds a run on a runner that is gone."""
+        """Each holder exits too; the next one finds a run on a runner that is gone."""
         cell = _Cell(patch, jobs=1, runners=2)
         for _ in range(MAX_STARTS - 1):
             placed = cell.place()
@@ -164,7 +166,7 @@
                 cell.engine.drop_orphan(attempt)
         assert cell.at_fault.failed
 
-    def test_is_given_up_where_the_runners_only_fall_silent(
+    def test_is_given_up_if_runners_only_become_silent(
         self, patch: pytest.MonkeyPatch
     ) -> None:
         cell = _Cell(patch, jobs=1, runners=3)
@@ -175,30 +177,30 @@
         assert cell.at_fault.failed
 
 
-class TestWhatIsNoCrash:
-    def _lose_twice_more(self, cell: _Cell) -> None:
+class TestExitsThatAreNoCrash:
+    def _crash_two_more_runners(self, cell: _Cell) -> None:
         for _ in range(2):
             cell.now_s += 1.0
             cell.crash_faulty_runner(cell.place())
 
-    def test_a_runner_that_drains(self, patch: pytest.MonkeyPatch) -> None:
+    def test_draining_runner(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=4)
         (attempt,) = cell.place()
         cell.engine.runners[attempt.runner_id].draining = True
         cell.end(cell.engine.runners[attempt.runner_id])
-        self._lose_twice_more(cell)
+        self._crash_two_more_runners(cell)
         assert not cell.at_fault.failed
 
-    def test_a_move_that_we_ordered(self, patch: pytest.MonkeyPatch) -> None:
+    def test_ordered_machine_move(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=4)
         (attempt,) = cell.place()
         cell.engine.runners[attempt.runner_id].reserved = True
         cell.end(cell.engine.runners[attempt.runner_id])
-        self._lose_twice_more(cell)
+        self._crash_two_more_runners(cell)
         assert not cell.at_fault.failed
 
-    def test_a_runner_that_is_heard_again(self, patch: pytest.MonkeyPatch) -> None:
-        """It was out of reach for longer than runs are held, and has not crashed."""
+    def test_runner_that_answers_again(self, patch: pytest.MonkeyPatch) -> None:
+        """It was unreachable for longer than its leases last, and has not crashed."""
         cell = _Cell(patch, jobs=1, runners=4)
         (attempt,) = cell.place()
         runner = cell.engine.runners[attempt.runner_id]
@@ -209,10 +211,10 @@
         runner.silent_at_s = None
         cell.engine.on_hold(runner, HoldReply(0, (), ()))
         assert attempt.task.crashes == 0
-        self._lose_twice_more(cell)
+        self._crash_two_more_runners(cell)
         assert not cell.at_fault.failed
 
-    def test_a_run_that_has_worked_for_a_while(self, patch: pytest.MonkeyPatch) -> None:
+    def test_run_that_has_worked_for_a_while(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=4)
         for _ in range(8):
             (attempt,) = cell.place()
@@ -223,10 +225,10 @@
         assert not cell.at_fault.failed
 
 
-class TestRunnersThatLivedOn:
-    """They end within half a second of a start, and have answered since it."""
+class TestRunnersThatOutliveStarts:
+    """Runners that exit within half a second of a start but answered after it."""
 
-    def _play(self, cell: _Cell, times: int) -> None:
+    def _outlive_starts(self, cell: _Cell, times: int) -> None:
         for _ in range(times):
             (attempt,) = cell.place()
             runner = cell.engine.runners[attempt.runner_id]
@@ -236,24 +238,24 @@
             cell.end(runner)
             cell.now_s += 1.0
 
-    def test_give_up_no_task_by_a_few_ends(self, patch: pytest.MonkeyPatch) -> None:
-        """Guards against jobs that fail as runners end by themselves in series."""
+    def test_few_exits_give_up_no_task(self, patch: pytest.MonkeyPatch) -> None:
+        """Guards against failing jobs when runners exit on their own in series."""
         cell = _Cell(patch, jobs=1, runners=4)
-        self._play(cell, times=7)
+        self._outlive_starts(cell, times=7)
         assert not cell.at_fault.failed
 
-    def test_give_up_a_task_that_takes_each_one_down_later(
+    def test_task_that_crashes_each_runner_later_is_given_up(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a task that ends runners for good, 0.3 s after each start."""
+        """Guards against a task that forever crashes runners 0.3 s after each start."""
         cell = _Cell(patch, jobs=1, runners=4)
-        self._play(cell, times=8)
+        self._outlive_starts(cell, times=8)
         assert cell.at_fault.failed
 
-    def test_ask_for_one_more_crash_of_what_begins_among_them(
+    def test_unstable_pool_requires_one_more_crash(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a job that fails for the third of many ends by chance."""
+        """Guards against failing a job because of the third of many unrelated exits."""
         cell = _Cell(patch, jobs=1, runners=6)
         for _ in range(3):
             cell.crash_faulty_runner(cell.place())
@@ -264,31 +266,31 @@
         cell.crash_faulty_runner(cell.place())
         assert cell.at_fault.failed
 
-    def test_are_counted_of_those_that_an_earlier_holder_had(
+    def test_exits_under_an_earlier_holder_count(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against the third of many ends, two of them before a take-over."""
+        """Guards against failing for the third of many exits, two before a takeover."""
         cell = _Cell(patch, jobs=3, runners=3)
         _, *others = cell.engine.jobs.values()
         for number in range(4):
             assert not cell.at_fault.failed
             if number == 2:
                 for job in others:
-                    self._lose_unseen(cell, job)
+                    self._drop_orphaned_run(cell, job)
             cell.crash_faulty_runner(cell.place())
         assert cell.at_fault.failed
 
     @staticmethod
-    def _lose_unseen(cell: _Cell, job: Job) -> None:
-        """Drop a run of an earlier holder whose runner is not there any more."""
+    def _drop_orphaned_run(cell: _Cell, job: Job) -> None:
+        """Drop a run of an earlier holder whose runner no longer exists."""
         (task,) = job.occurrences[0].steps[0].tasks
         phase = Phase.SENT
         cell.engine.drop_orphan(Attempt(task, 9, f"gone-{job.job_id}", phase))
 
-    def test_ask_for_one_more_crash_of_what_never_said_it_was_there(
+    def test_unconfirmed_start_requires_one_more_crash(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against an end that comes before a start has been answered."""
+        """Guards against an exit that occurs before a start has been answered."""
         cell = _Cell(patch, jobs=1, runners=4)
         for number in range(4):
             assert not cell.at_fault.failed
@@ -299,7 +301,7 @@
             cell.now_s += 1.0
         assert cell.at_fault.failed
 
-    def test_ask_for_nothing_more_once_they_are_long_ago(
+    def test_old_exits_require_no_further_crash(
         self, patch: pytest.MonkeyPatch
     ) -> None:
         cell = _Cell(patch, jobs=1, runners=6)
@@ -311,27 +313,29 @@
             cell.now_s += 1.0
         assert cell.at_fault.failed
 
-    def test_leave_its_end_to_what_it_did_not_outlive(
+    def test_exit_is_attributed_to_the_start_not_outlived(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against an end that is laid to tasks beside the one at fault."""
+        """Guards against attributing an exit to tasks beside the faulty one."""
         cell = _Cell(patch, jobs=2, runners=1)
-        shown, unshown = cell.place()
-        runner = cell.engine.runners[shown.runner_id]
-        row = RunningTask(shown.task.name, shown.run, "", 9)
-        unshown.confirmed_clock_ms = unshown.first_confirmed_ms = 101
+        listed, unlisted = cell.place()
+        runner = cell.engine.runners[listed.runner_id]
+        row = RunningTask(listed.task.name, listed.run, "", 9)
+        unlisted.confirmed_clock_ms = unlisted.first_confirmed_ms = 101
         cell.engine.on_hold(runner, HoldReply(101, (row,), ()))
         cell.end(runner)
-        assert (shown.task.lost_runners, unshown.task.crashes) == (0, 1)
+        assert (listed.task.lost_runners, unlisted.task.crashes) == (0, 1)
 
-    def test_are_counted_on_by_the_next_holder(self, patch: pytest.MonkeyPatch) -> None:
+    def test_next_holder_continues_the_count_of_late_exits(
+        self, patch: pytest.MonkeyPatch
+    ) -> None:
         cell = _Cell(patch, jobs=1, runners=4)
-        self._play(cell, times=5)
+        self._outlive_starts(cell, times=5)
         next_one = _next_holder(cell, patch, runners=4)
-        self._play(next_one, times=3)
+        self._outlive_starts(next_one, times=3)
         assert next_one.at_fault.failed
 
-    def test_that_are_heard_again_had_not_ended(
+    def test_runner_that_answers_again_had_not_exited(
         self, patch: pytest.MonkeyPatch
     ) -> None:
         cell = _Cell(patch, jobs=1, runners=4)
@@ -345,17 +349,17 @@
         assert attempt.task.lost_runners == 0
 
 
-class TestTrial:
-    def test_keeps_others_off_its_runner(self, patch: pytest.MonkeyPatch) -> None:
+class TestProbation:
+    def test_reserves_its_runner(self, patch: pytest.MonkeyPatch) -> None:
         cell = _Cell(patch, jobs=1, runners=2)
         cell.crash_faulty_runner(cell.place())
         cell.now_s += 1.0
-        (tried,) = cell.place()
+        (on_probation,) = cell.place()
         cell.add_job("f" * 16)
         (other,) = cell.place()
-        assert other.runner_id != tried.runner_id
+        assert other.runner_id != on_probation.runner_id
 
-    def test_leaves_half_of_the_runners_to_others(
+    def test_leaves_half_of_the_runners_to_other_tasks(
         self, patch: pytest.MonkeyPatch
     ) -> None:
         cell = _Cell(patch, jobs=4, runners=4)
@@ -365,8 +369,8 @@
         cell.now_s += 1.0
         assert len(cell.place()) == 2
 
-    def test_keeps_nobody_waiting_for_long(self, patch: pytest.MonkeyPatch) -> None:
-        """Twelve jobs that had just begun on one runner: all run again within 3 s."""
+    def test_does_not_delay_tasks_for_long(self, patch: pytest.MonkeyPatch) -> None:
+        """Twelve jobs that had just begun on one runner all run again within 3 s."""
         cell = _Cell(patch, jobs=12, runners=2)
         for runner in cell.engine.runners.values():
             runner.cpu = 16_000
@@ -383,10 +387,10 @@
             again += len(cell.place())
             cell.now_s += 0.1
 
-    def test_that_has_waited_is_not_begun_beside_another_one(
+    def test_overdue_suspect_does_not_start_beside_another(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against tasks that are given up with one that starts beside them."""
+        """Guards against giving up tasks together with one that starts beside them."""
         cell = _Cell(patch, jobs=3, runners=1)
         for job in cell.engine.jobs.values():
             for task in job.occurrences[0].steps[0].tasks:
@@ -399,7 +403,7 @@
         (second,) = cell.place()
         assert second.runner_id == first.runner_id
 
-    def test_of_a_gang_that_finds_no_room_keeps_nobody_off(
+    def test_unplaceable_gang_reserves_no_runner(
         self, patch: pytest.MonkeyPatch
     ) -> None:
         cell = _Cell(patch, jobs=1, runners=2)
--- a/src/streamthread/scheduler/tests/test_restarts.py
+++ b/src/streamthread/scheduler/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""What becomes of the runs of a runner that starts again under its id."""
+"""Tests what happens to the runs of a runner that restarts under the same id."""
 
 import json
 
@@ -32,7 +32,7 @@
 
 
 class _Cell:
-    """Three tasks of one job on one runner, and the life that follows."""
+    """Three tasks of one job on one runner, and the runner's next incarnation."""
 
     def __init__(self) -> None:
         self.engine = Engine(lambda job: None)
@@ -67,8 +67,8 @@
 
 
 class TestRestartedRunner:
-    def test_has_lost_what_its_former_life_listed(self, cell: _Cell) -> None:
-        """Its clock, which begins anew, says nothing of what it lists."""
+    def test_loses_the_runs_of_its_former_incarnation(self, cell: _Cell) -> None:
+        """The clock starts anew and says nothing about the runs that are listed."""
         for attempt in cell.attempts:
             cell.confirm(attempt, 8_000)
         cell.list_runs(*cell.attempts)
@@ -78,13 +78,15 @@
         assert all(not task.attempts for task in _tasks(cell.job))
         assert all(task.needs_attempt for task in _tasks(cell.job))
 
-    def test_is_sent_nothing_that_was_only_planned(self, cell: _Cell) -> None:
+    def test_gets_no_order_for_planned_attempts(self, cell: _Cell) -> None:
         after = cell.restart()
         assert not after.attempts
         assert not cell.engine.take_stops()
 
-    def test_stops_what_may_have_come_to_either_life(self, cell: _Cell) -> None:
-        """A start whose answer is open, and one that no list has shown yet."""
+    def test_stops_runs_that_may_have_reached_either_incarnation(
+        self, cell: _Cell
+    ) -> None:
+        """Covers an unanswered start and a confirmed run that no list has shown yet."""
         sent, answered, listed = cell.attempts
         sent.phase = Phase.SENT
         cell.confirm(listed, 8_000)
@@ -102,8 +104,8 @@
         assert not after.attempts
         assert all(task.needs_attempt for task in _tasks(cell.job))
 
-    def test_ends_are_laid_to_a_run_once(self, cell: _Cell) -> None:
-        """A run that waits for its stop has not started on the lives that follow."""
+    def test_exit_is_attributed_to_a_run_once(self, cell: _Cell) -> None:
+        """A run that awaits its stop was not started on the following incarnations."""
         for attempt in cell.attempts:
             attempt.phase = Phase.SENT
             attempt.sent_at_s = boot_s()
@@ -115,7 +117,7 @@
         assert [task.crashes for task in _tasks(cell.job)] == [1, 1, 1]
         assert not cell.job.failed
 
-    def test_is_asked_again_for_what_was_to_be_stopped(self, cell: _Cell) -> None:
+    def test_gets_unfinished_stops_again(self, cell: _Cell) -> None:
         (attempt, *_) = cell.attempts
         attempt.phase = Phase.SENT
         cell.engine.stop(attempt, "cancelled")
@@ -128,9 +130,7 @@
         assert attempt.stop.answered_ms == 0
         assert attempt.stop_reason == "cancelled"
 
-    def test_keeps_nothing_that_was_held_against_its_former_life(
-        self, cell: _Cell
-    ) -> None:
+    def test_inherits_no_penalty_of_its_former_incarnation(self, cell: _Cell) -> None:
         cell.before.penalty_until_s = 1e12
         cell.before.failed_at_s.append(1e12)
         cell.before.stray_runs = 1
@@ -140,19 +140,19 @@
         assert not after.penalty_until_s and not after.probation_until_s
         assert not after.failed_at_s
 
-    def test_may_get_a_task_that_failed_in_its_former_life(self, cell: _Cell) -> None:
+    def test_may_get_a_task_that_failed_on_its_former_incarnation(
+        self, cell: _Cell
+    ) -> None:
         (task, *_) = _tasks(cell.job)
         task.avoid.add(cell.before.incarnation)
         assert is_avoided(task, cell.before)
         assert not is_avoided(task, cell.restart())
 
-    def test_stays_reserved_for_what_was_ordered_for_its_machine(
-        self, cell: _Cell
-    ) -> None:
+    def test_stays_reserved_for_an_ordered_duty(self, cell: _Cell) -> None:
         cell.before.reserved = True
         assert cell.restart().reserved
 
-    def test_tells_its_earlier_lives_apart_from_a_next_one(self, cell: _Cell) -> None:
+    def test_distinguishes_earlier_from_next_incarnations(self, cell: _Cell) -> None:
         after = cell.restart()
         assert not after.is_next_incarnation(BORN_MS)
         assert not after.is_next_incarnation(after.born_ms)
@@ -161,10 +161,10 @@
 
 
 class TestRecordedRuns:
-    """What the next holder reads of runs on a runner that has started again."""
+    """Runs that the next holder reads back for a runner that has restarted."""
 
     def _read(self, cell: _Cell, born_ms: int | None) -> tuple[Engine, Job]:
-        """Return the next holder's job, with a runner whose life began then."""
+        """Return the next holder's job, with a runner incarnation born then."""
         engine = Engine(lambda job: None)
         job = decode_row(cell.job.job_id, encode_definition(cell.job))
         restore_progress(job, encode_progress(cell.job))
@@ -174,23 +174,19 @@
         engine.add_runner(runner)
         return engine, job
 
-    def test_are_started_again_on_the_life_they_were_meant_for(
-        self, cell: _Cell
-    ) -> None:
+    def test_are_started_again_on_their_own_incarnation(self, cell: _Cell) -> None:
         engine, job = self._read(cell, BORN_MS)
         assert not engine.take_stops()
         assert all(attempt.phase is Phase.SENT for attempt in job.attempts())
         assert all(task.crashes == 0 for task in _tasks(job))
 
-    def test_are_stopped_on_another_one_and_its_end_is_laid_to_them(
-        self, cell: _Cell
-    ) -> None:
+    def test_are_stopped_and_blamed_on_another_incarnation(self, cell: _Cell) -> None:
         engine, job = self._read(cell, BORN_MS + 1)
         assert engine.take_stops() == list(job.attempts())
         assert [task.crashes for task in _tasks(job)] == [1, 1, 1]
 
-    def test_have_an_end_laid_to_them_by_one_holder_alone(self, cell: _Cell) -> None:
-        """Guards against jobs that are given up for one end that each holder counts."""
+    def test_get_an_exit_attributed_by_one_holder_only(self, cell: _Cell) -> None:
+        """Guards against giving up jobs for one exit that each holder counts."""
         for attempt in cell.attempts:
             attempt.phase = Phase.SENT
             attempt.sent_at_s = boot_s()
@@ -199,10 +195,8 @@
             cell.engine, cell.job = self._read(cell, BORN_MS + number)
             assert [task.crashes for task in _tasks(cell.job)] == [1, 1, 1]
 
-    def test_are_not_started_on_the_life_that_followed_their_own(
-        self, cell: _Cell
-    ) -> None:
-        """Guards against a start that no end of its runner would count against."""
+    def test_are_not_started_on_the_next_incarnation(self, cell: _Cell) -> None:
+        """Guards against a start that no runner exit would count against."""
         for attempt in cell.attempts:
             attempt.phase = Phase.SENT
             attempt.sent_at_s = boot_s()
@@ -210,8 +204,8 @@
         _, job = self._read(cell, BORN_MS + 1)
         assert all(attempt.phase is Phase.STOPPING for attempt in job.attempts())
 
-    def test_name_an_end_as_soon_as_it_is_laid_to_them(self, cell: _Cell) -> None:
-        """Guards against an end that the next holder finds in no row."""
+    def test_attributed_exit_is_recorded_immediately(self, cell: _Cell) -> None:
+        """Guards against an exit that the next holder finds in no row."""
         changed: list[Job] = []
         engine = Engine(changed.append)
         job = decode_row(cell.job.job_id, encode_definition(cell.job))
@@ -221,15 +215,15 @@
         assert [task.crashes for task in _tasks(job)] == [1, 1, 1]
         assert job in changed
 
-    @pytest.mark.parametrize("told", ["by the row", "by the runner"])
-    def test_are_taken_as_they_are_where_no_birth_is_told(
-        self, cell: _Cell, told: str
+    @pytest.mark.parametrize("source", ["row", "runner"])
+    def test_are_accepted_if_the_start_time_is_unknown(
+        self, cell: _Cell, source: str
     ) -> None:
-        """Rows of older daemons name none, and some runners never do."""
-        if told == "by the runner":
+        """Rows of older daemons contain no start time, and some runners report none."""
+        if source == "runner":
             for attempt in cell.attempts:
                 attempt.born_ms = None
-        engine, job = self._read(cell, None if told == "by the row" else BORN_MS)
+        engine, job = self._read(cell, None if source == "row" else BORN_MS)
         assert not engine.take_stops()
         assert all(task.crashes == 0 for task in _tasks(job))
 
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -190,7 +190,7 @@
         "scheduler/crashes.py",
         "[a for a in candidates if not _is_outlived(a, runner)]",
         "candidates",
-        (f"{CRASHES}::TestRunnersThatLivedOn",),
+        (f"{CRASHES}::TestRunnersThatOutliveStarts",),
     ),
     Guard(
         "recorded-runs-stay-blamed",
@@ -204,14 +204,14 @@
         "scheduler/probation.py",
         "    return runner.probation_until_s <= now_s or runner.probation_job is job\n",
         "    return True\n",
-        (f"{CRASHES}::TestTrial",),
+        (f"{CRASHES}::TestProbation",),
     ),
     Guard(
         "suspects-start-apart",
         "scheduler/probation.py",
         "[r for r in open_runners if not _is_starting_suspects(job, r, now_s)]",
         "open_runners",
-        (f"{CRASHES}::TestTrial",),
+        (f"{CRASHES}::TestProbation",),
     ),
     Guard(
         "unreached-starts-are-no-crashes",
@@ -225,7 +225,7 @@
         "scheduler/crashes.py",
         "attribution.at_start and attribution.single_confirmed_job and stable",
         "attribution.at_start and attribution.single_confirmed_job",
-        (f"{CRASHES}::TestRunnersThatLivedOn",),
+        (f"{CRASHES}::TestRunnersThatOutliveStarts",),
     ),
     Guard(
         "crashes-are-recorded",
@@ -239,7 +239,7 @@
         "scheduler/outcomes.py",
         "        self._crashes.on_runner_response(runner)\n",
         "",
-        (f"{CRASHES}::TestWhatIsNoCrash",),
+        (f"{CRASHES}::TestExitsThatAreNoCrash",),
     ),
     Guard(
         "rooms-are-followed",
