--- a/src/streamthread/scheduler/tests/test_accounts.py
+++ b/src/streamthread/scheduler/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""What runs of an account is counted as it changes, and held to its limit."""
+"""Tests that account usage is counted at each change and held to the limit."""
 
 import json
 import typing as t
@@ -24,7 +24,7 @@
 
 ROUTE = Route(name="r", host="h", path_prefix="/", service="desk", needs_key=True)
 NOW_S = 1e12
-"""A wall time after all jobs have come."""
+"""A wall time after the submission of all jobs."""
 
 ACCOUNTS = ("ann", "bob")
 
@@ -62,8 +62,8 @@
     def place(self) -> list[Attempt]:
         return self.engine.place_all(NOW_S, lambda step: None)
 
-    def summed(self, account: str) -> Running:
-        """Return what may run of an account, counted anew."""
+    def sum_of_runs(self, account: str) -> Running:
+        """Return the usage of an account, computed from all attempts."""
         running = Running()
         for job in self.engine.jobs.values():
             for attempt in job.attempts():
@@ -73,43 +73,43 @@
 
 
 class TestLimit:
-    def test_no_more_is_started_than_it_allows(self) -> None:
+    def test_starts_no_more_than_allowed(self) -> None:
         cell = _Cell(ann=Limit(cpu=350))
         cell.add("ann", body(count=8))
         assert len(cell.place()) == 3
         assert not cell.place()
 
-    def test_it_counts_over_all_jobs_and_runners(self) -> None:
+    def test_applies_across_all_jobs_and_runners(self) -> None:
         cell = _Cell(ann=Limit(cpu=300))
         for _ in range(5):
             cell.add("ann", body(cpu=100))
         assert len(cell.place()) == 3
 
-    def test_others_are_not_held_up_by_it(self) -> None:
+    def test_does_not_delay_other_accounts(self) -> None:
         cell = _Cell(ann=Limit(cpu=100))
         cell.add("ann", body(count=8))
         cell.add("bob", body(count=8))
         placed = [a.task.step.occurrence.job.account for a in cell.place()]
         assert sorted(placed) == ["ann"] + 8 * ["bob"]
 
-    def test_memory_counts_alike(self) -> None:
+    def test_applies_to_memory(self) -> None:
         cell = _Cell(ann=Limit(memory_mb=25))
         cell.add("ann", body(count=8))
         assert len(cell.place()) == 2
 
-    def test_what_fills_counts_though_it_takes_no_room(self) -> None:
+    def test_counts_filler_tasks_that_reserve_no_cpu(self) -> None:
         cell = _Cell(ann=Limit(cpu=200))
         cell.add("ann", body(count=8, fills=True))
         assert len(cell.place()) == 2
 
-    def test_a_gang_starts_whole_or_not_at_all(self) -> None:
+    def test_starts_a_gang_completely_or_not_at_all(self) -> None:
         cell = _Cell(ann=Limit(cpu=250))
         cell.add("ann", body(count=3, gang=True))
         assert not cell.place()
         cell.limits["ann"] = Limit(cpu=300)
         assert len(cell.place()) == 3
 
-    def test_a_run_counts_until_it_is_known_to_be_over(self) -> None:
+    def test_counts_a_run_until_its_end_is_known(self) -> None:
         cell = _Cell(ann=Limit(cpu=100))
         cell.add("ann", body(count=2))
         (first,) = cell.place()
@@ -119,7 +119,7 @@
         cell.engine.attempts_expired(first.runner_id, "test")
         assert len(cell.place()) == 1
 
-    def test_a_cancelled_job_counts_while_its_runs_are_there(self) -> None:
+    def test_counts_the_remaining_runs_of_a_cancelled_job(self) -> None:
         cell = _Cell(ann=Limit(cpu=100))
         job = cell.add("ann", body())
         (first,) = cell.place()
@@ -129,7 +129,7 @@
         cell.engine.runner_exited(first.runner_id, "test")
         assert len(cell.place()) == 1
 
-    def test_a_lower_one_stops_nothing_and_starts_nothing(self) -> None:
+    def test_lowered_limit_stops_no_run_and_starts_none(self) -> None:
         cell = _Cell(ann=Limit(cpu=400))
         cell.add("ann", body(count=8))
         running = cell.place()
@@ -140,7 +140,7 @@
             cell.engine.refuse(attempt, "test")
         assert len(cell.place()) == 1
 
-    def test_the_next_holder_counts_what_runs_where_it_knows_no_runner(self) -> None:
+    def test_next_holder_counts_runs_on_unknown_runners(self) -> None:
         cell = _Cell(ann=Limit(cpu=200))
         job = cell.add("ann", body(count=4))
         cell.place()
@@ -154,7 +154,7 @@
             successor.engine.drop_orphan(orphan)
         assert len(successor.place()) == 2
 
-    def test_nought_and_an_unknown_account_are_no_limit(self) -> None:
+    def test_zero_and_unknown_accounts_are_unlimited(self) -> None:
         cell = _Cell(ann=Limit())
         cell.add("ann", body(count=8))
         cell.add("new", body(count=8))
@@ -162,7 +162,7 @@
 
 
 class TestOverLimit:
-    def test_a_task_and_a_gang_that_can_never_run(self) -> None:
+    def test_rejects_a_task_and_a_gang_that_can_never_run(self) -> None:
         job = new_job("a" * 16, ROUTE, body(count=3), "ann")
         gang = new_job("b" * 16, ROUTE, body(count=3, gang=True), "ann")
         assert not over_limit(job, Limit(cpu=100))
@@ -174,7 +174,9 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["hand-in", "place", "end", "stop", "cancel", "over", "heir"]),
+        st.sampled_from(
+            ["submit", "place", "end", "stop", "cancel", "exit", "takeover"]
+        ),
         st.integers(0, 5),
         st.integers(1, 4),
     ),
@@ -183,18 +185,18 @@
 
 
 class _Scenario(_Cell):
-    """Carries out random events, and the take-over of the cell among them."""
+    """Carries out random events, including a takeover of the cell."""
 
     def carry_out(self, what: str, pick: int, count: int) -> None:
         attempts = [a for job in self.engine.jobs.values() for a in job.attempts()]
         chosen = attempts[pick % len(attempts)] if attempts else None
-        if what == "hand-in":
+        if what == "submit":
             self.add(ACCOUNTS[pick % 2], body(count=count, cpu=100 * (1 + pick)))
         elif what == "place":
             self.place()
-        elif what == "heir":
+        elif what == "takeover":
             self._take_over()
-        elif what == "over":
+        elif what == "exit":
             self.engine.runner_exited(f"i-{pick % 3}", "test")
             self.engine.add_runner(runner(pick % 3))
         elif chosen is not None and what == "end":
@@ -218,14 +220,16 @@
 
 @given(STEPS)
 @settings(max_examples=200)
-def test_counts_are_the_sum_after_each_event(
+def test_usage_equals_the_sum_of_runs_after_each_event(
     events: list[tuple[str, int, int]],
 ) -> None:
-    """Whatever happens, and whoever holds the cell, no account is over its limit."""
+    """No event and no change of holder takes an account over its limit."""
     scenario = _Scenario(ann=Limit(cpu=900), bob=Limit(cpu=500, memory_mb=40))
     for event in events:
         scenario.carry_out(*event)
         for account in ACCOUNTS:
-            summed = scenario.summed(account)
-            assert scenario.engine.accounts.of(account) == summed
-            assert scenario.limits[account].allows(summed.cpu, summed.memory_mb, 0)
+            sum_of_runs = scenario.sum_of_runs(account)
+            assert scenario.engine.accounts.of(account) == sum_of_runs
+            assert scenario.limits[account].allows(
+                sum_of_runs.cpu, sum_of_runs.memory_mb, 0
+            )
--- a/src/streamthread/scheduler/tests/test_engine.py
+++ b/src/streamthread/scheduler/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine under any order of starts, ends, refusals and lost runners."""
+"""Tests the engine under any order of starts, ends, refusals and lost runners."""
 
 import time
 import typing as t
@@ -39,7 +39,7 @@
 
 
 class EngineMachine(RuleBasedStateMachine):
-    """Runs one job of two steps through whatever may happen to it."""
+    """Runs one job of two steps through random events."""
 
     @initialize()
     def begin(self) -> None:
@@ -103,7 +103,7 @@
 
     @rule(data=st.data())
     def send(self, data: t.Any) -> None:
-        """A start is sent, and answered or not; a list shows the run or not yet."""
+        """A start is sent and possibly answered; a list may or may not show the run."""
         planned = [a for a in self.attempts() if a.phase is Phase.PLANNED]
         if not planned:
             return
@@ -117,7 +117,7 @@
 
     @rule(data=st.data())
     def restart_runner(self, data: t.Any) -> None:
-        """The next life lists nothing; what may have come to it is to be stopped."""
+        """The next incarnation lists nothing; runs that may have reached it stop."""
         runner_id = data.draw(st.sampled_from(sorted(self.engine.runners)))
         before, after = self.engine.runners[runner_id], self.new_incarnation(runner_id)
         certain = [a for a in before.attempts.values() if a.ends_with_incarnation]
@@ -132,7 +132,7 @@
 
     @rule()
     def take_over(self) -> None:
-        """A new holder reads back what the rows say."""
+        """A new holder reads the rows back."""
         job = decode_row(self.job.job_id, encode_definition(self.job))
         assert job.over == (self.job.over and not self.job.has_attempts())
         if not job.over:
@@ -144,7 +144,7 @@
         engine.add(job)
         for before in runners:
             runner = self.new_incarnation(before.runner_id)
-            # One of them has started again while nobody held it.
+            # One of the runners has restarted while the cell had no holder.
             if self.incarnations % 2:
                 runner.born_ms = before.born_ms
             engine.add_runner(runner)
@@ -158,13 +158,13 @@
             assert attempt.task.state is not TaskState.WAITING
 
     @invariant()
-    def nothing_is_to_start_of_what_is_over(self) -> None:
+    def nothing_starts_for_finished_work(self) -> None:
         for attempt in self.attempts():
             if self.job.over or attempt.task.state is TaskState.DONE:
                 assert attempt.phase is Phase.STOPPING
 
     @invariant()
-    def room_adds_up(self) -> None:
+    def used_resources_match_attempts(self) -> None:
         for runner in self.engine.runners.values():
             assert runner.used_cpu == 1000 * len(runner.attempts) <= 4000
 
@@ -189,7 +189,7 @@
 
 
 class TestTaskNames:
-    def test_of_no_task_find_none(self) -> None:
+    def test_invalid_names_find_no_task(self) -> None:
         engine = Engine(lambda job: None)
         job = Job("a" * 16, "r", "desk", JobRequest("x", STEPS), BODY, time.time())
         engine.add(job)
@@ -201,7 +201,7 @@
 
 
 def _job_with_attempts() -> Job:
-    """Return a job of which each task of the first step has an attempt."""
+    """Return a job in which each task of the first step has an attempt."""
     job = Job("a" * 16, "r", "desk", JobRequest("x", STEPS), BODY, time.time())
     for task in job.begin(0).steps[0].tasks:
         task.last_run = 1
@@ -218,16 +218,16 @@
 
 
 class TestAttemptsReadBack:
-    def test_of_an_open_job_may_have_been_sent(self) -> None:
+    def test_of_an_open_job_are_restored_as_sent(self) -> None:
         phases = {attempt.phase for attempt in _read_back(_job_with_attempts())}
         assert phases == {Phase.SENT}
 
-    def test_of_a_cancelled_job_are_to_be_stopped(self) -> None:
+    def test_of_a_cancelled_job_are_stopped(self) -> None:
         job = _job_with_attempts()
         job.cancelled = True
         assert {attempt.phase for attempt in _read_back(job)} == {Phase.STOPPING}
 
-    def test_of_a_task_that_is_done_are_to_be_stopped(self) -> None:
+    def test_of_a_completed_task_are_stopped(self) -> None:
         job = _job_with_attempts()
         done = job.occurrences[0].steps[0].tasks[0]
         done.state = TaskState.DONE
--- a/src/streamthread/scheduler/tests/test_placement.py
+++ b/src/streamthread/scheduler/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement under any mix of runners and tasks."""
+"""Tests placement under any mix of runners and tasks."""
 
 import collections
 import time
@@ -50,7 +50,7 @@
 
 class TestPlacement:
     @given(steps, runner_lists)
-    def test_keeps_room_labels_spread_and_gangs(
+    def test_respects_capacity_labels_limits_and_gangs(
         self, step: StepRequest, shapes: list[tuple[int, int, tuple[str, ...]]]
     ) -> None:
         runners = [_runner(n, *shape) for n, shape in enumerate(shapes)]
@@ -71,7 +71,7 @@
             assert len(placed) in (0, step.count)
 
     @given(st.integers(1, 10), st.integers(1, 10))
-    def test_leaves_no_task_waiting_that_fits(self, count: int, room: int) -> None:
+    def test_places_every_task_that_fits(self, count: int, room: int) -> None:
         step = StepRequest(count=count, cpu=1000)
         run = _job(step).occurrences[0].steps[0]
         placed = place_step(run, [_runner(1, room * 1000, 10, ("a",))], time.time())
@@ -85,8 +85,8 @@
         assert placement.runner.rack == "r2"
 
 
-class TestSickRunners:
-    def test_a_failed_task_waits_for_room_on_another_runner(self) -> None:
+class TestFailingRunners:
+    def test_failed_task_waits_for_another_runner(self) -> None:
         step = StepRequest(count=1, cpu=10)
         run = _job(step).occurrences[0].steps[0]
         run.tasks[0].avoid.add(RunnerIncarnation("i-1"))
@@ -96,19 +96,19 @@
         (placement,) = place_step(run, [failing, full], time.time())
         assert placement.runner is failing
 
-    def test_a_failed_task_goes_back_where_there_is_no_other_runner(self) -> None:
+    def test_failed_task_returns_if_there_is_no_other_runner(self) -> None:
         step = StepRequest(count=1, cpu=10)
         run = _job(step).occurrences[0].steps[0]
         run.tasks[0].avoid.add(RunnerIncarnation("i-1"))
         (placement,) = place_step(run, [_runner(1, 100, 10, ("a",))], time.time())
         assert placement.runner.runner_id == "i-1"
 
-    def test_one_that_fails_much_gets_nothing_while_most_are_sound(self) -> None:
+    def test_penalized_runner_gets_no_task_while_most_are_healthy(self) -> None:
         step = StepRequest(count=2, cpu=10)
         run = _job(step).occurrences[0].steps[0]
-        sick, healthy = _runner(1, 100, 10, ("a",)), _runner(2, 10, 10, ("a",))
-        sick.penalty_until_s = time.time() + 60
-        placed = place_step(run, [sick, healthy], time.time())
+        failing, healthy = _runner(1, 100, 10, ("a",)), _runner(2, 10, 10, ("a",))
+        failing.penalty_until_s = time.time() + 60
+        placed = place_step(run, [failing, healthy], time.time())
         assert [p.runner for p in placed] == [healthy]
         healthy.penalty_until_s = time.time() + 60
-        assert len(place_step(run, [sick, healthy], time.time())) == 2
+        assert len(place_step(run, [failing, healthy], time.time())) == 2
--- a/src/streamthread/scheduler/tests/test_progress.py
+++ b/src/streamthread/scheduler/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Runs that lag behind are told from long ones, and done elsewhere."""
+"""Tests that lagging runs are told from long ones and done elsewhere."""
 
 import time
 import typing as t
@@ -30,7 +30,7 @@
 
 
 def _attempt(seen: t.Sequence[tuple[float, float]], **step: t.Any) -> Attempt:
-    """Return a run of which a runner told these percents at these times."""
+    """Return a run for which a runner reported this progress at these times."""
     job = _job(**step)
     task = job.begin(0).steps[0].tasks[0]
     attempt = Attempt(task, 1, "i-0", Phase.CONFIRMED)
@@ -39,28 +39,28 @@
     return attempt
 
 
-class TestJudgement:
-    def test_leaves_alone_what_goes_on(self) -> None:
+class TestDetectLag:
+    def test_ignores_a_run_that_progresses(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 40), (1.6, 80)])
         assert detect_lag(attempt, 2.0, SETTINGS) is None
 
-    def test_leaves_alone_the_longest_of_a_kind(self) -> None:
+    def test_ignores_the_longest_run_of_a_kind(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 32)])
         assert detect_lag(attempt, 1.0, SETTINGS) is None
 
-    def test_finds_what_stands_still(self) -> None:
+    def test_detects_a_stalled_run(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 20), (1.6, 20), (2.4, 20)])
         assert detect_lag(attempt, 5.0, SETTINGS) is Lag.STALLED
 
-    def test_finds_what_never_began(self) -> None:
+    def test_detects_a_run_that_never_progressed(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 0), (1.6, 0)])
         assert detect_lag(attempt, None, SETTINGS) is Lag.STALLED
 
-    def test_finds_what_is_many_times_slower(self) -> None:
+    def test_detects_a_much_slower_run(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 10)])
         assert detect_lag(attempt, 1.0, SETTINGS) is Lag.SLOW
 
-    def test_does_not_trust_estimates(self) -> None:
+    def test_does_not_rely_on_estimates(self) -> None:
         attempt = _attempt([(0, 0), (0.8, 10)])
         assert detect_lag(attempt, None, SETTINGS) is None
 
@@ -68,7 +68,7 @@
         assert detect_lag(_attempt([(0, 0)]), 1.0, SETTINGS) is None
 
     @pytest.mark.parametrize("kind", ["gang", "lasting", "fills"])
-    def test_leaves_alone_what_waits_or_yields(self, kind: str) -> None:
+    def test_ignores_runs_that_wait_or_yield(self, kind: str) -> None:
         attempt = _attempt([(0, 0), (2, 0)], **{kind: True})
         assert detect_lag(attempt, 1.0, SETTINGS) is None
 
@@ -114,7 +114,7 @@
 
 
 class TestMoves:
-    def test_stop_a_run_that_stands_still_and_run_it_elsewhere(self) -> None:
+    def test_restart_a_stalled_run_elsewhere(self) -> None:
         pool = _Pool()
         pool.stall()
         assert pool.engine.handle_lagging_runs()
@@ -125,7 +125,7 @@
         assert second.runner_id != pool.first.runner_id
         assert second.run > pool.first.run
 
-    def test_do_not_happen_without_room_elsewhere(self) -> None:
+    def test_do_not_happen_without_capacity_elsewhere(self) -> None:
         pool = _Pool()
         other = next(r for r in pool.engine.runners if r != pool.first.runner_id)
         pool.engine.runners[other].ready = False
@@ -133,7 +133,7 @@
         assert not pool.engine.handle_lagging_runs()
         assert pool.engine.take_stops() == []
 
-    def test_do_not_happen_where_the_others_lack_the_label(self) -> None:
+    def test_do_not_happen_if_other_runners_lack_the_label(self) -> None:
         pool = _Pool(requires="a")
         for runner in pool.engine.runners.values():
             if runner.runner_id != pool.first.runner_id:
@@ -142,8 +142,8 @@
         assert not pool.engine.handle_lagging_runs()
 
 
-class TestCopies:
-    def test_run_beside_what_a_silent_runner_has(self) -> None:
+class TestSpeculativeCopies:
+    def test_run_beside_the_run_of_a_silent_runner(self) -> None:
         pool = _Pool(speculative=True)
         pool.engine.runners[pool.first.runner_id].ready = False
         pool.engine.request_copies(pool.first.runner_id)
@@ -165,7 +165,7 @@
         (copy,) = pool.place()
         assert copy.runner_id == other
 
-    def test_are_not_made_where_the_step_does_not_allow_it(self) -> None:
+    def test_are_not_made_if_the_step_does_not_allow_them(self) -> None:
         pool = _Pool()
         pool.engine.runners[pool.first.runner_id].ready = False
         pool.engine.request_copies(pool.first.runner_id)
@@ -181,7 +181,7 @@
         assert pool.engine.take_stops() == [pool.first]
         assert pool.place() == []
 
-    def test_leave_one_run_when_the_other_fails(self) -> None:
+    def test_keep_one_run_when_the_other_fails(self) -> None:
         pool = _Pool(speculative=True)
         pool.stall()
         assert pool.engine.handle_lagging_runs()
