--- a/src/streamthread/scheduler/tests/test_ends_listed_again.py
+++ b/src/streamthread/scheduler/tests/test_ends_listed_again.py
@@ -1,8 +1,8 @@
-"""Ends that a runner lists though their attempts are over.
+"""Tests that a run's end that is listed twice counts once.
 
-Found by reading: a lasting task whose run ended `done` was counted as done for good
-where its runner listed that end once more, to the next holder or after a lost answer.
-Its job ended, and nothing started it again.
+Guards against a long-running task that counts as done for good: its run ended `done`,
+and the runner listed that end again, to the next holder or after a lost answer. The job
+then ended and nothing restarted the task.
 """
 
 import json
@@ -21,7 +21,7 @@
 ROUTE = Route("r", "desk.example", "/jobs/", "desk", max_attempts=3)
 
 
-def _end_twice(lasting: bool) -> Job:
+def _list_end_twice(lasting: bool) -> Job:
     """Return a job of one task whose only run is listed as done twice."""
     engine = Engine(lambda job: None)
     runner = RunnerState("i-1", "desk", "x:1", "z", ("a", "r"), 1000, 1000, 0)
@@ -42,10 +42,10 @@
 
 
 class TestDoneRunThatIsListedAgain:
-    def test_leaves_a_lasting_task_to_be_started_again(self) -> None:
-        job = _end_twice(lasting=True)
+    def test_restarts_a_long_running_task(self) -> None:
+        job = _list_end_twice(lasting=True)
         assert job.state is JobState.RUNNING
         assert job.occurrences[0].steps[0].tasks[0].needs_attempt
 
-    def test_leaves_other_tasks_done(self) -> None:
-        assert _end_twice(lasting=False).state is JobState.COMPLETED
+    def test_keeps_other_tasks_done(self) -> None:
+        assert _list_end_twice(lasting=False).state is JobState.COMPLETED
--- a/src/streamthread/scheduler/tests/test_late_paces.py
+++ b/src/streamthread/scheduler/tests/test_late_paces.py
@@ -1,6 +1,7 @@
-"""A pace without an answer may be set after a newer one, and is mended then.
+"""Tests that a pace order carried out late is corrected.
 
-Lists do not tell the pace: what was ordered last is taken as set once it is answered.
+An unanswered pace order may take effect after a newer one. Lists do not contain the
+pace, so the last order counts as set once it is answered.
 """
 
 import time
@@ -25,7 +26,7 @@
 
 
 class _Client:
-    """Gives the first pace no answer, and sets it when told to."""
+    """Leaves the first pace order unanswered, and carries it out on request."""
 
     def __init__(self) -> None:
         self.pace_percent = 100
@@ -45,7 +46,7 @@
 
 
 class _Owner:
-    """Holds one runner, and trusts itself."""
+    """Owns one runner and has a valid lease."""
 
     token = 1
 
@@ -59,7 +60,7 @@
 
 
 class TestPace:
-    async def test_that_comes_after_a_newer_one_does_not_stay(self) -> None:
+    async def test_carried_out_late_is_corrected(self) -> None:
         step = StepRequest(fills=True)
         job = Job("a" * 16, "r", "desk", JobRequest("", (step,)), b"", time.time())
         task = job.begin(0).steps[0].tasks[0]
--- a/src/streamthread/scheduler/tests/test_stops.py
+++ b/src/streamthread/scheduler/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""Runs that are to be stopped and go on are told of."""
+"""Tests that runs which continue although they are to be stopped are logged."""
 
 import time
 import typing as t
@@ -42,31 +42,31 @@
     return engine, job
 
 
-def _age(attempt: Attempt) -> None:
-    """Let a run have been to be stopped for longer than it may take."""
+def _make_overdue(attempt: Attempt) -> None:
+    """Make a run's stop older than a stop may take."""
     assert attempt.stop is not None
     attempt.stop.since_s -= OVERDUE_S + 1
 
 
 class TestOverdueStops:
-    def test_are_told_once_each_and_counted(self, lines: logbook.TestHandler) -> None:
+    def test_are_logged_once_each_and_counted(self, lines: logbook.TestHandler) -> None:
         engine, job = _engine_with_runs()
         engine.cancel(job)
         assert _count(lines, "run-to-stop") == 2
         engine.log_overdue_stops()
         assert engine.overdue_stops == 0
         for attempt in job.attempts():
-            _age(attempt)
+            _make_overdue(attempt)
         engine.log_overdue_stops()
         engine.log_overdue_stops()
         assert engine.overdue_stops == 2
         assert _count(lines, "stop-overdue") == 2
 
-    def test_are_over_with_their_runner(self, lines: logbook.TestHandler) -> None:
+    def test_end_with_their_runner(self, lines: logbook.TestHandler) -> None:
         engine, job = _engine_with_runs()
         engine.cancel(job)
         for attempt in job.attempts():
-            _age(attempt)
+            _make_overdue(attempt)
         engine.log_overdue_stops()
         engine.runner_exited("i-1", "test")
         engine.log_overdue_stops()
@@ -74,21 +74,21 @@
 
 
 def _list(engine: Engine, attempt: Attempt, clock_ms: int) -> None:
-    """Let the runner tell that a run is there."""
+    """Let the runner list the run."""
     row = RunningTask(attempt.task.name, attempt.run, "", 100.0)
     runner = engine.runners[attempt.runner_id]
     engine.on_hold(runner, HoldReply(clock_ms, (row,), ()))
 
 
 def _answer(attempt: Attempt, clock_ms: int) -> None:
-    """Let the runner take the stop that was on its way."""
+    """Let the runner accept the stop that was sent."""
     assert attempt.stop is not None
     attempt.stop.under_way = False
     attempt.stop.answered_ms = clock_ms
 
 
 class TestStopWithoutEffect:
-    def test_is_sent_again_once_it_must_have_worked(self) -> None:
+    def test_is_sent_again_after_its_effect_is_due(self) -> None:
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.cancel(job)
@@ -101,7 +101,7 @@
         _list(engine, first, 5_001 + engine.settings.stop_effect_ms)
         assert engine.take_stops() == [first]
 
-    def test_is_sent_at_last_where_none_was_sent(self) -> None:
+    def test_is_sent_if_none_was_sent_before(self) -> None:
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.cancel(job)
@@ -111,8 +111,8 @@
         _list(engine, first, 5_000)
         assert engine.take_stops() == [first]
 
-    def test_is_sent_again_where_nothing_runs_and_none_was_taken(self) -> None:
-        """Its start may still come; until a stop is taken, the room is not free."""
+    def test_is_sent_again_if_unlisted_and_unanswered(self) -> None:
+        """Its start may still arrive; until a stop is accepted, resources stay used."""
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.cancel(job)
@@ -125,8 +125,8 @@
         engine.on_hold(runner, HoldReply(5_001, (), ()))
         assert engine.take_stops() == [first]
 
-    def test_lets_a_run_go_on_that_its_job_still_wants(self) -> None:
-        """What allowed the stop may have changed: whoever wanted it decides anew."""
+    def test_lets_a_needed_run_continue(self) -> None:
+        """The reason for the stop may have changed; its requester decides again."""
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.confirm(first, 1)
--- a/src/streamthread/scheduler/tests/test_stops_and_older_lists.py
+++ b/src/streamthread/scheduler/tests/test_stops_and_older_lists.py
@@ -1,4 +1,4 @@
-"""An older list does not have a refused stop sent to a run that its job wants."""
+"""Tests that an outdated list does not repeat a refused stop of a needed run."""
 
 from streamthread.platform.runners import HoldReply
 
@@ -6,10 +6,11 @@
 
 
 class TestOlderList:
-    def test_does_not_repeat_a_stop_that_may_not_be_wanted_any_more(self) -> None:
-        """A list from before the run began comes after the refusal of its stop.
+    def test_does_not_repeat_a_stop_that_may_be_obsolete(self) -> None:
+        """A list from before the run began arrives after the refusal of its stop.
 
-        A list that has the run lets it go on: the step may miss no other by now.
+        A list that contains the run lets it continue, because by now the step may not
+        be able to spare another run.
         """
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
--- a/src/streamthread/scheduler/tests/test_stops_of_attempts.py
+++ b/src/streamthread/scheduler/tests/test_stops_of_attempts.py
@@ -1,4 +1,4 @@
-"""What a stop means for a run that is read back, refused or not listed."""
+"""Tests stops of runs that are read back, refused or not listed."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 class TestReadBack:
-    def test_counts_among_the_runs_that_are_to_be_stopped(self) -> None:
+    def test_counts_as_a_run_to_be_stopped(self) -> None:
         _, job = _engine_with_runs()
         job.cancelled = True
         job.ended_at_s = time.time()
@@ -32,8 +32,8 @@
 
 
 class TestAnsweredStop:
-    def test_is_not_repeated_where_the_run_is_not_listed(self) -> None:
-        """Its runner refuses a start that comes later."""
+    def test_is_not_repeated_if_the_run_is_not_listed(self) -> None:
+        """The runner refuses a start that arrives later."""
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.cancel(job)
--- a/src/streamthread/scheduler/tests/test_unanswered_stops.py
+++ b/src/streamthread/scheduler/tests/test_unanswered_stops.py
@@ -1,7 +1,7 @@
-"""A refused stop says nothing of an earlier try that was not answered.
+"""Tests that a refused stop does not complete an earlier, unanswered one.
 
-That one may be carried out seconds later. A run that goes on meanwhile counts as at
-work, and another of its step may be stopped beside it.
+The unanswered stop may be carried out seconds later. A run that continues in the
+meantime counts as running, and another run of its step may be stopped besides.
 """
 
 import types
@@ -21,7 +21,7 @@
 
 
 class _Client:
-    """Gives the first stop no answer and refuses the second one."""
+    """Leaves the first stop unanswered and refuses the second one."""
 
     def __init__(self) -> None:
         self.stops = 0
@@ -34,7 +34,7 @@
 
 
 class TestStopWithoutAnswer:
-    async def test_is_not_settled_by_the_refusal_of_the_next_one(self) -> None:
+    async def test_is_not_completed_by_the_refusal_of_the_next_try(self) -> None:
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.confirm(first, 1)
--- a/src/streamthread/scheduler/tests/test_unlisted_runs.py
+++ b/src/streamthread/scheduler/tests/test_unlisted_runs.py
@@ -1,4 +1,4 @@
-"""A run that counts as running and that no list of its runner shows is told of."""
+"""Tests that a run which counts as running but is in no list is logged."""
 
 import json
 
@@ -39,7 +39,7 @@
         reply = HoldReply(CONFIRMED_MS, tuple(rows), ())
         self.engine.on_hold(self.runner, reply)
 
-    def told(self, lists: int) -> list[str]:
+    def log_messages(self, lists: int) -> list[str]:
         with logbook.TestHandler() as handler:
             for _ in range(lists):
                 self.list_runs()
@@ -51,17 +51,17 @@
     return _Cell(unlisted_s=0.0)
 
 
-class TestRunThatIsInNoList:
-    def test_is_told_of_once_and_counted(self, cell: _Cell) -> None:
-        assert cell.told(lists=3).count("run-unlisted") == 1
+class TestUnlistedRun:
+    def test_is_logged_once_and_counted(self, cell: _Cell) -> None:
+        assert cell.log_messages(lists=3).count("run-unlisted") == 1
         assert cell.engine.unlisted_runs == 1
 
-    def test_is_no_matter_for_a_moment(self) -> None:
+    def test_is_not_logged_within_the_tolerance(self) -> None:
         cell = _Cell(unlisted_s=60.0)
-        assert "run-unlisted" not in cell.told(lists=3)
+        assert "run-unlisted" not in cell.log_messages(lists=3)
         assert cell.engine.unlisted_runs == 0
 
-    def test_is_counted_no_more_once_it_is_listed(self, cell: _Cell) -> None:
+    def test_is_not_counted_once_it_is_listed(self, cell: _Cell) -> None:
         cell.list_runs()
         cell.list_runs(cell.attempt)
         assert cell.engine.unlisted_runs == 0
--- a/src/streamthread/scheduler/tests/test_unreached_starts.py
+++ b/src/streamthread/scheduler/tests/test_unreached_starts.py
@@ -1,4 +1,4 @@
-"""A start that only the next life of its runner answered has ended no runner."""
+"""Tests that a start answered only by the next incarnation blames no task."""
 
 import time
 import types
@@ -20,7 +20,7 @@
 
 
 class _Client:
-    """Answers starts by raising one error after the other."""
+    """Answers each start by raising the next error."""
 
     def __init__(self, *errors: Exception) -> None:
         self._errors = list(errors)
@@ -30,7 +30,7 @@
 
 
 class _Owner:
-    """Holds one runner, and trusts itself."""
+    """Owns one runner and has a valid lease."""
 
     token = 1
 
@@ -57,7 +57,7 @@
 
 
 async def _start(*errors: Exception) -> Task:
-    """Return a task whose start got these answers, once its runner is over."""
+    """Return a task whose start got these answers and whose runner then exited."""
     engine = Engine(lambda job: None)
     runner = RunnerState("i-1", "desk", "x:1", "z", ("a",), 9, 9, 0)
     runner.ready = True
@@ -73,16 +73,16 @@
     return attempt.task
 
 
-class TestStartThatAnotherLifeAnswered:
-    async def test_is_laid_to_no_task(self) -> None:
-        """Guards against jobs that fail for ends before their tasks were started."""
+class TestStartAnsweredByAnotherIncarnation:
+    async def test_is_attributed_to_no_task(self) -> None:
+        """Guards against failing jobs for exits that precede their tasks' start."""
         task = await _start(LifeOverError())
         assert task.lost_runners == 0
         assert task.needs_attempt
 
     @pytest.mark.parametrize("tries", [1, 2])
-    async def test_counts_where_an_earlier_try_may_have_begun(self, tries: int) -> None:
-        """Guards against a task that crashes its runner before it has answered."""
+    async def test_counts_if_an_earlier_try_may_have_started(self, tries: int) -> None:
+        """Guards against missing a task that crashes its runner before answering."""
         lost = [OutcomeUnknownError("no answer", remedy="-")] * tries
         task = await _start(*lost, LifeOverError())
         assert task.crashes == 1
