--- a/src/streamthread/scheduler/tests/test_placement.py
+++ b/src/streamthread/scheduler/tests/test_placement.py
@@ -71,11 +71,11 @@
             assert len(placed) in (0, step.count)
 
     @given(st.integers(1, 10), st.integers(1, 10))
-    def test_places_every_task_that_fits(self, count: int, room: int) -> None:
+    def test_places_every_task_that_fits(self, count: int, capacity: int) -> None:
         step = StepRequest(count=count, cpu=1000)
         run = _job(step).occurrences[0].steps[0]
-        placed = place_step(run, [_runner(1, room * 1000, 10, ("a",))], time.time())
-        assert len(placed) == min(count, room)
+        placed = place_step(run, [_runner(1, capacity * 1000, 10, ("a",))], time.time())
+        assert len(placed) == min(count, capacity)
 
     def test_prefers_the_rack_of_the_data(self) -> None:
         step = StepRequest(count=1, cpu=1, near_rack="r2")
--- a/src/streamthread/scheduler/tests/test_progress.py
+++ b/src/streamthread/scheduler/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Tests that lagging runs are told from long ones and done elsewhere."""
+"""Tests that lagging runs are distinguished from long ones and done elsewhere."""
 
 import time
 import typing as t
--- a/src/streamthread/scheduler/tests/test_restarts.py
+++ b/src/streamthread/scheduler/tests/test_restarts.py
@@ -215,15 +215,15 @@
         assert [task.crashes for task in _tasks(job)] == [1, 1, 1]
         assert job in changed
 
-    @pytest.mark.parametrize("source", ["row", "runner"])
+    @pytest.mark.parametrize("reported", ["by the row", "by the runner"])
     def test_are_accepted_if_the_start_time_is_unknown(
-        self, cell: _Cell, source: str
+        self, cell: _Cell, reported: str
     ) -> None:
         """Rows of older daemons contain no start time, and some runners report none."""
-        if source == "runner":
+        if reported == "by the runner":
             for attempt in cell.attempts:
                 attempt.born_ms = None
-        engine, job = self._read(cell, None if source == "row" else BORN_MS)
+        engine, job = self._read(cell, None if reported == "by the row" else BORN_MS)
         assert not engine.take_stops()
         assert all(task.crashes == 0 for task in _tasks(job))
 
