--- a/src/streamthread/scheduler/learning.py
+++ b/src/streamthread/scheduler/learning.py
@@ -7,13 +7,13 @@
 
 __all__ = ["RunTimes", "learning_key", "request_key"]
 
-WEIGHT = 0.25
+NEWEST_RUN_WEIGHT = 0.25
 """Weight of the newest run in the moving mean; four runs outweigh all earlier ones."""
 
-DEFAULT_S = 1.0
+DEFAULT_RUN_S = 1.0
 """The expected run time if neither a run nor an estimate is known."""
 
-ESTIMATE_WEIGHT_RUNS = 2
+MIN_LEARNED_RUNS = 2
 """From this number of runs of an image, their mean replaces the caller's estimate."""
 
 
@@ -35,13 +35,13 @@
         if mean is None:
             self._means[key] = _Mean(took_s)
             return
-        mean.value_s += (took_s - mean.value_s) * WEIGHT
+        mean.value_s += (took_s - mean.value_s) * NEWEST_RUN_WEIGHT
         mean.count += 1
 
     def learned_s(self, key: str) -> float | None:
         """Return the learned run time, or None if there are too few runs."""
         mean = self._means.get(key)
-        if mean is None or mean.count < ESTIMATE_WEIGHT_RUNS:
+        if mean is None or mean.count < MIN_LEARNED_RUNS:
             return None
         return mean.value_s
 
@@ -53,7 +53,7 @@
         if estimate_ms > 0:
             return estimate_ms / 1000
         mean = self._means.get(key)
-        return mean.value_s if mean is not None else DEFAULT_S
+        return mean.value_s if mean is not None else DEFAULT_RUN_S
 
 
 def learning_key(step: StepRun) -> str:
--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -127,7 +127,7 @@
                 if not uncertain:
                     # It certainly began nowhere, so no exit is attributed to it.
                     attempt.sent_at_s = 0.0
-                self._end_life(link, "another life answered a start")
+                self._on_exit(link, "another incarnation answered a start")
                 return
             except StoreUnavailableError:
                 # The order was certainly not sent.
@@ -142,7 +142,9 @@
             if link.over:
                 # Either incarnation of the runner may have answered.
                 reply = None
-            if reply is not None and self._take_answer(attempt, link, reply, uncertain):
+            if reply is not None and self._process_answer(
+                attempt, link, reply, uncertain
+            ):
                 await self._check_probation(attempt, link)
                 return
             await asyncio.sleep(self._settings.retry_s)
@@ -177,7 +179,7 @@
             link.runner.address, attempt.runner_id, order, self._settings.answer_s
         )
 
-    def _take_answer(
+    def _process_answer(
         self,
         attempt: Attempt,
         link: RunnerLink,
@@ -221,7 +223,7 @@
         if attempt in attempt.task.attempts:
             await link.extend_once()
 
-    def _end_life(self, link: RunnerLink, why: str) -> None:
+    def _on_exit(self, link: RunnerLink, why: str) -> None:
         link.over = True
         self._owner.on_life_over(link, why)
 
@@ -293,7 +295,7 @@
             )
         except LifeOverError:
             link.over = True
-            self._owner.on_life_over(link, "another life answered a pace")
+            self._owner.on_life_over(link, "another incarnation answered a pace")
             return
         except (StoreUnavailableError, OutcomeUnknownError) as error:
             log.warning(
@@ -339,7 +341,7 @@
                 self._settings.answer_s,
             )
         except LifeOverError:
-            self._end_life(link, "another life answered a stop")
+            self._on_exit(link, "another incarnation answered a stop")
         except (StoreUnavailableError, OutcomeUnknownError) as error:
             if log_unanswered:
                 _log_unanswered_stop(link, task, run, error)
--- a/src/streamthread/scheduler/outcomes.py
+++ b/src/streamthread/scheduler/outcomes.py
@@ -281,10 +281,10 @@
         """
         now_s = time.time()
         since_s = now_s - self._settings.penalty_s
-        lately = [
+        recent = [
             failed_at_s for failed_at_s in runner.failed_at_s if failed_at_s > since_s
         ]
-        runner.failed_at_s = [*lately, now_s]
+        runner.failed_at_s = [*recent, now_s]
         if len(runner.failed_at_s) >= self._settings.penalty_failures:
             runner.penalty_until_s = now_s + self._settings.penalty_s
 
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -80,11 +80,11 @@
     """Return the length of the longest chain of an occurrence's (open) steps."""
     ends: list[float] = []
     for step in occurrence.steps:
-        own_s = 0.0
+        step_s = 0.0
         if not (only_open and step.done) and not step.request.lasting:
-            own_s = times.expect_s(learning_key(step), step.request.estimate_ms)
+            step_s = times.expect_s(learning_key(step), step.request.estimate_ms)
         before_s = max((ends[n] for n in step.request.after), default=0.0)
-        ends.append(before_s + own_s)
+        ends.append(before_s + step_s)
     return max(ends, default=0.0)
 
 
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -216,8 +216,8 @@
     Guard(
         "unreached-starts-are-no-crashes",
         "scheduler/orders.py",
-        "                    attempt.sent_at_s = 0.0\n                self._end_life",
-        "                    pass\n                self._end_life",
+        "                    attempt.sent_at_s = 0.0\n                self._on_exit",
+        "                    pass\n                self._on_exit",
         ("src/streamthread/scheduler/tests/test_unreached_starts.py",),
     ),
     Guard(
