--- a/src/streamthread/scheduler/__init__.py
+++ b/src/streamthread/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs in the holder's memory: what may run, where it goes, what became of it."""
+"""Jobs in the memory of the holder: what may run, its placement and its outcome."""
 
 from .codec import decode_row
 from .codec import encode_definition
@@ -11,7 +11,7 @@
 from .model import JobState
 from .model import new_job
 from .model import Phase
-from .model import RunnerLife
+from .model import RunnerIncarnation
 from .model import StepRun
 from .model import Task
 from .model import TaskState
@@ -25,7 +25,7 @@
     "Job",
     "JobState",
     "Phase",
-    "RunnerLife",
+    "RunnerIncarnation",
     "RunnerState",
     "StepRun",
     "Stray",
--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -1,11 +1,12 @@
-"""Tasks that end the runners which start them, told from what only ran beside them.
-
-The end of a runner comes with no list, so that nothing else counts it against the
-tasks that were there: they lapse and are placed again. Two tasks that crash their
-runners took down 9 a second, of a pool of 16, for as long as they were placed again;
-each is given up after three or four. What they ran beside goes on: an end is laid to
-those alone that had been started there last, and these run apart until it is known
-which of them it was.
+"""Attributes runner exits to the tasks that may have caused them.
+
+A runner exit comes with no list, so nothing else counts it against the tasks that ran
+there: their runs expire and the tasks are placed again. Two tasks that crashed their
+runners took down 9 runners a second, in a pool of 16, for as long as they were placed
+again. Each such task is now given up after three or four crashes. The tasks that ran
+beside it continue: an exit is attributed only to the tasks that had been started last
+on the runner, and these run apart from others until it is known which of them caused
+it.
 """
 
 import typing as t
@@ -19,40 +20,40 @@
 from .model import Attempt
 from .model import Blame
 from .model import Phase
-from .model import RunnerLife
+from .model import RunnerIncarnation
 from .model import Task
+from .probation import SIMULTANEOUS_START_S
 from .settings import EngineSettings
-from .steadiness import Steadiness
-from .trials import SAME_MOMENT_S
+from .stability import PoolStability
 
 __all__ = ["Crashes", "describe", "started_last"]
 
 log = logbook.Logger("streamthread.scheduler")
 
-OUTLIVED_MS = 50
-"""By its clock: a runner that has lived on for so long after a start was not taken down
-by that start alone, which takes some 10 ms."""
+MIN_OUTLIVED_MS = 50
+"""Measured on the runner's clock. A runner that stayed alive for this long after a
+start was not crashed by that start alone, which takes some 10 ms."""
 
-AT_START_S = 0.5
-"""A run that takes its runner down does so within some 10 ms; the start, the call that
-meets the closed connection and a busy loop add up to some 0.3 s."""
+START_CRASH_WINDOW_S = 0.5
+"""A run that crashes its runner does so within some 10 ms. The start, the call that
+meets the closed connection and a busy event loop add up to some 0.3 s."""
 
-LIVED_S = 2.0
-"""A run that has worked for so long does not crash each runner that starts it. Where a
-runner is silent with open connections, it is known no better since when: a call takes
-1.5 s at most to find out."""
+STABLE_RUN_S = 2.0
+"""A run that has worked for this long does not crash every runner that starts it. If a
+runner is silent with open connections, the start of its silence is not known more
+precisely than this, since a call takes up to 1.5 s to detect it."""
 
 
 def started_last(runner: RunnerState, now_s: float) -> list[Attempt]:
-    """Return the attempts that were started last before a runner fell silent, if any.
+    """Return the attempts that were started last before a runner became silent.
 
-    Those whose starts were sent at the same moment are not told apart.
+    Attempts whose starts were sent at nearly the same time are not told apart.
 
-    :param now_s: on the boot clock; counts where the runner was never silent.
+    :param now_s: boot clock time; used if the runner was never silent.
     """
-    found = _started_within(runner, AT_START_S, now_s)
+    found = _started_within(runner, START_CRASH_WINDOW_S, now_s)
     latest_s = max((attempt.sent_at_s for attempt in found), default=0.0)
-    return [a for a in found if a.sent_at_s >= latest_s - SAME_MOMENT_S]
+    return [a for a in found if a.sent_at_s >= latest_s - SIMULTANEOUS_START_S]
 
 
 def _started_within(
@@ -67,16 +68,16 @@
 
 
 def describe(attempts: t.Iterable[Attempt]) -> list[list[t.Any]]:
-    """Return the names and run numbers of attempts, for the logs."""
+    """Return the names and run numbers of attempts for the log."""
     return [[attempt.task.name, attempt.run] for attempt in attempts]
 
 
 @attrs.frozen
-class _Verdict:
-    """What the end of a runner is laid to.
+class _Attribution:
+    """The attempts to which a runner exit is attributed.
 
-    :param exact: it is known that this had just been started there.
-    :param later: the runner had surely lived on after the start.
+    :param exact: the attempts are known to have been started last before the exit.
+    :param later: the runner certainly stayed alive after the start.
     """
 
     blamed: t.Sequence[Attempt]
@@ -85,154 +86,164 @@
 
     @property
     def at_start(self) -> bool:
-        """Whether the start of what is blamed explains the end."""
+        """Whether the start of the blamed attempts explains the exit."""
         return self.exact and bool(self.blamed) and not self.later
 
     @property
-    def one_job_there(self) -> bool:
-        """Whether all that is blamed is of one job, and has surely begun there."""
+    def single_confirmed_job(self) -> bool:
+        """Whether the blamed attempts belong to one job and certainly began there."""
         jobs = {id(attempt.task.step.occurrence.job) for attempt in self.blamed}
-        return len(jobs) == 1 and all(attempt.there_ms for attempt in self.blamed)
+        return len(jobs) == 1 and all(
+            attempt.first_confirmed_ms for attempt in self.blamed
+        )
 
 
 class Crashes:
-    """Counts the ends of runners against the tasks that may have brought them about."""
+    """Counts runner exits against the tasks that may have caused them."""
 
     def __init__(self, ledger: Ledger, settings: EngineSettings) -> None:
         self._ledger = ledger
         self._settings = settings
-        self._steadiness = Steadiness(settings.unsteady_ends)
+        self._stability = PoolStability(settings.unsteady_ends)
 
     def suspect(self, runner: RunnerState) -> None:
-        """Doubt what a runner began as it fell silent, until it is heard again."""
+        """Suspect the runs started last before a runner's silence, until it answers."""
         if runner.hung:
             return
         for attempt in started_last(runner, boot_s()):
-            attempt.doubtful = True
+            attempt.suspected = True
 
     @staticmethod
     def may_copy(task: Task) -> bool:
-        """Whether a copy of a task may be started before its run's end is sure.
+        """Whether a task may be copied before the end of its current run is certain.
 
-        One that silenced two runners, or one after it had ended one, waits until their
-        fate is known.
+        A task that silenced two runners, or one runner after it had crashed another
+        one, waits until it is known whether they exited.
         """
-        return task.lost_runners + sum(a.doubtful for a in task.attempts) < 2
+        return task.lost_runners + sum(a.suspected for a in task.attempts) < 2
 
-    def on_heard(self, runner: RunnerState) -> None:
-        """Take it that a runner lives: it was cut off, and nothing crashed it."""
+    def on_runner_response(self, runner: RunnerState) -> None:
+        """Clear the suspicions: the runner was unreachable and did not crash."""
         for attempt in runner.attempts.values():
-            attempt.doubtful = False
+            attempt.suspected = False
         for blame in runner.blamed:
-            self._take_back(blame)
+            self._withdraw_blame(blame)
         runner.blamed.clear()
 
-    def _take_back(self, blame: Blame) -> None:
+    def _withdraw_blame(self, blame: Blame) -> None:
         task = blame.task
         if blame.later:
             task.later_ends = max(0, task.later_ends - 1)
         else:
             task.crashes = max(0, task.crashes - 1)
-        task.on_trial = task.on_trial and task.lost_runners > 0
+        task.on_probation = task.on_probation and task.lost_runners > 0
         self._ledger.changed(task.step.occurrence.job)
 
-    def acquit(self, task: Task) -> None:
-        """Take it that a run of a task ended, or went on, without harm."""
+    def clear_crashes(self, task: Task) -> None:
+        """Reset a task's counts: one of its runs ended or continued harmlessly."""
         if not task.lost_runners:
             return
         task.crashes = task.later_ends = 0
-        task.on_trial = False
+        task.on_probation = False
         self._ledger.changed(task.step.occurrence.job)
 
-    def acquit_if_lived(self, attempt: Attempt) -> None:
-        """Acquit the task of a run that its runner has listed for long enough."""
+    def clear_crashes_if_stable(self, attempt: Attempt) -> None:
+        """Reset the counts if the task's runner has listed the run for long enough."""
         if not attempt.task.lost_runners or not attempt.began_at_s:
             return
-        if boot_s() - attempt.began_at_s > LIVED_S:
-            self.acquit(attempt.task)
+        if boot_s() - attempt.began_at_s > STABLE_RUN_S:
+            self.clear_crashes(attempt.task)
 
-    # Ends.
+    # Runner exits.
 
-    def settle(self, runner: RunnerState) -> list[Task]:
-        """Lay a runner's end to tasks; return those that are to be given up.
+    def attribute_exit(self, runner: RunnerState) -> list[Task]:
+        """Attribute a runner exit to tasks; return those to be given up.
 
-        What we ordered, or the runner announced, is no crash.
+        An exit that this daemon ordered or the runner announced is not a crash.
         """
         if runner.draining or runner.reserved:
             return []
-        verdict = self._judge(runner)
-        if not verdict.at_start:
-            self._steadiness.note_end(runner.service, runner.life)
-        for attempt in verdict.blamed:
-            runner.blamed.append(Blame(attempt.task, verdict.later))
-            self._blame(attempt, verdict, runner)
-        steady = not self._steadiness.is_unsteady(runner.service)
-        telling = verdict.at_start and verdict.one_job_there and steady
-        return [a.task for a in verdict.blamed if self._is_proven(a.task, telling)]
-
-    def _judge(self, runner: RunnerState) -> _Verdict:
-        """Return what a runner's end is laid to."""
+        attribution = self._attribute(runner)
+        if not attribution.at_start:
+            self._stability.record_exit(runner.service, runner.incarnation)
+        for attempt in attribution.blamed:
+            runner.blamed.append(Blame(attempt.task, attribution.later))
+            self._blame(attempt, attribution, runner)
+        stable = not self._stability.is_unstable(runner.service)
+        conclusive = (
+            attribution.at_start and attribution.single_confirmed_job and stable
+        )
+        return [
+            a.task for a in attribution.blamed if self._is_at_fault(a.task, conclusive)
+        ]
+
+    def _attribute(self, runner: RunnerState) -> _Attribution:
+        """Return the attempts to which a runner exit is attributed."""
         now_s = boot_s()
         exact = not runner.hung and bool(started_last(runner, now_s))
         candidates = self._candidates(runner, now_s, exact)
         not_outlived = [a for a in candidates if not _is_outlived(a, runner)]
         if not_outlived:
-            return _Verdict(not_outlived, exact)
-        return _Verdict(candidates, exact, later=True)
+            return _Attribution(not_outlived, exact)
+        return _Attribution(candidates, exact, later=True)
 
-    def settle_orphan(self, attempt: Attempt) -> list[Task]:
-        """Do the same for a run on a runner that was gone before this holder came."""
+    def attribute_orphan_exit(self, attempt: Attempt) -> list[Task]:
+        """Attribute the exit of a runner that was gone before this holder started."""
         if not self._may_be_at_fault(attempt):
             return []
         pool = attempt.task.step.occurrence.job.service
-        life = RunnerLife(attempt.runner_id, attempt.born_ms)
-        self._steadiness.note_end(pool, life)
-        self._blame(attempt, _Verdict((attempt,)))
-        return [attempt.task] if self._is_proven(attempt.task, telling=False) else []
+        incarnation = RunnerIncarnation(attempt.runner_id, attempt.born_ms)
+        self._stability.record_exit(pool, incarnation)
+        self._blame(attempt, _Attribution((attempt,)))
+        return (
+            [attempt.task] if self._is_at_fault(attempt.task, conclusive=False) else []
+        )
 
     def _candidates(
         self, runner: RunnerState, now_s: float, exact: bool
     ) -> list[Attempt]:
-        """Return what may have ended a runner.
+        """Return the attempts that may have caused a runner's exit.
 
-        :param exact: it is known what was started last before its end.
+        :param exact: it is known which attempts were started last before the exit.
         """
         if exact:
             found = started_last(runner, now_s)
         else:
-            # Of an earlier holder's runs it is not known when they began.
+            # The start times of an earlier holder's runs are unknown.
             unknown = [
                 attempt
                 for attempt in runner.attempts.values()
                 if attempt.read_back and not attempt.seen_at_s
             ]
-            found = _started_within(runner, LIVED_S, now_s) + unknown
+            found = _started_within(runner, STABLE_RUN_S, now_s) + unknown
         return [attempt for attempt in found if self._may_be_at_fault(attempt)]
 
     @staticmethod
     def _may_be_at_fault(attempt: Attempt) -> bool:
-        # A run that waits for its stop on the next life was not started there.
+        # A run that awaits its stop on the next incarnation was not started there.
         over = attempt.task.step.occurrence.job.over or attempt.blamed
         return not over and attempt.phase is not Phase.PLANNED
 
     def _blame(
         self,
         attempt: Attempt,
-        verdict: _Verdict,
+        attribution: _Attribution,
         runner: RunnerState | None = None,
     ) -> None:
-        """Count an end against a task, and have it run apart where that is telling.
+        """Count an exit against a task, and put the task on probation where useful.
 
-        :param runner: what has ended; None: not known here.
+        :param runner: the runner that exited; None if this holder does not know it.
         """
         task = attempt.task
         attempt.blamed = True
-        if verdict.later:
+        if attribution.later:
             task.later_ends += 1
         else:
             task.crashes += 1
-        task.on_trial = task.on_trial or verdict.exact or task.lost_runners > 1
-        # The next holder must not count this end again.
+        task.on_probation = (
+            task.on_probation or attribution.exact or task.lost_runners > 1
+        )
+        # The next holder must not count this exit again.
         self._ledger.changed(task.step.occurrence.job)
         self._ledger.count("crashed")
         log.info(
@@ -243,14 +254,14 @@
                 "runner": attempt.runner_id,
                 "crashes": task.crashes,
                 "later_ends": task.later_ends,
-                "just_started": verdict.exact,
+                "just_started": attribution.exact,
                 "silent_s_after": _silent_s_after(attempt, runner),
                 "outlived_ms": runner.outlived_ms(attempt) if runner else None,
             },
         )
 
-    def _is_proven(self, task: Task, telling: bool) -> bool:
-        if telling and task.crashes >= self._settings.crashes_alone:
+    def _is_at_fault(self, task: Task, conclusive: bool) -> bool:
+        if conclusive and task.crashes >= self._settings.crashes_alone:
             return True
         if task.crashes >= self._settings.most_crashes:
             return True
@@ -258,13 +269,13 @@
 
 
 def _is_outlived(attempt: Attempt, runner: RunnerState) -> bool:
-    """Whether a runner surely lived on for a while after the start of a run."""
+    """Whether a runner certainly stayed alive for a while after a run's start."""
     outlived_ms = runner.outlived_ms(attempt)
-    return outlived_ms is not None and outlived_ms >= OUTLIVED_MS
+    return outlived_ms is not None and outlived_ms >= MIN_OUTLIVED_MS
 
 
 def _silent_s_after(attempt: Attempt, runner: RunnerState | None) -> float | None:
-    """Return how long after its start was sent the runner of a run fell silent."""
+    """Return the time between a run's start order and its runner's silence."""
     if runner is None or runner.silent_at_s is None or not attempt.sent_at_s:
         return None
     return round(runner.silent_at_s - attempt.sent_at_s, 3)
--- a/src/streamthread/scheduler/engine.py
+++ b/src/streamthread/scheduler/engine.py
@@ -1,6 +1,7 @@
-"""The holder's state of all jobs, and what follows from each event.
+"""The holder's state of all jobs, and the consequences of each event.
 
-No input or output: the service records what changed and sends the orders.
+This module does no input or output: the service records the changes and sends the
+orders.
 """
 
 import time
@@ -16,7 +17,7 @@
 from .crashes import started_last
 from .fleet import RunnerState
 from .fleet import usable_runners
-from .lags import LagWatch
+from .lags import LagMonitor
 from .learning import RunTimes
 from .ledger import Ledger
 from .model import Attempt
@@ -25,12 +26,12 @@
 from .model import Task
 from .outcomes import Outcomes
 from .outcomes import Stray
-from .placement import LargestRoom
+from .placement import LargestFreeCapacity
 from .placement import order_steps
 from .placement import place_step
 from .placement import Placement
+from .probation import begin_probation
 from .settings import EngineSettings
-from .trials import begin_trial
 
 __all__ = ["Engine"]
 
@@ -38,10 +39,11 @@
 
 
 class Engine:
-    """All jobs of a cell, and the runners' room.
+    """All jobs of a cell, and the resources of its runners.
 
     :param changed: called with each job whose progress must be recorded.
-    :param limit_of: returns what a client account may have running at once.
+    :param limit_of: returns the limit on what a client account may have running at
+        once.
     """
 
     def __init__(
@@ -57,7 +59,7 @@
         self._outcomes = Outcomes(
             self._ledger, self.times, self._crashes, self.settings
         )
-        self._lags = LagWatch(
+        self._lags = LagMonitor(
             self._ledger,
             self._outcomes,
             self._crashes,
@@ -74,11 +76,11 @@
     # Jobs.
 
     def add(self, job: Job) -> None:
-        """Take a job, new or read back."""
+        """Add a job, either new or read back from the store."""
         self._ledger.add(job)
 
     def cancel(self, job: Job) -> None:
-        """Cancel a job that is not over; what runs is to be stopped."""
+        """Cancel a job that is not over and have its runs stopped."""
         if job.over:
             return
         job.cancelled = True
@@ -87,33 +89,34 @@
         self._ledger.changed(job)
 
     def withdraw(self, job: Job) -> None:
-        """Drop a new job of which no start was sent, as if it had never come."""
+        """Remove a new job of which no start was sent, as if never submitted."""
         for attempt in list(job.attempts()):
             self._ledger.remove(attempt, self.runners.get(attempt.runner_id))
         self._ledger.drop(job)
 
     def forget(self, before_s: float) -> list[Job]:
-        """Drop the jobs that ended before a wall time and return them."""
+        """Remove the jobs that ended before a wall time and return them."""
         return self._ledger.forget(before_s)
 
     def pending_count(self, route: str) -> int:
-        """Return how many of a route's jobs have not begun."""
+        """Return the number of a route's jobs that have not begun."""
         return sum(
             job.route == route and not job.begun and not job.over
             for job in self.open_jobs()
         )
 
     def open_jobs(self) -> t.Collection[Job]:
-        """Return the jobs of which something may still run."""
+        """Return the jobs that may still have runs."""
         return self._ledger.open.values()
 
     # Runners.
 
     def add_runner(self, runner: RunnerState) -> None:
-        """Take a new life of a runner, with what is recorded there.
+        """Add a new runner incarnation with the attempts that are recorded for it.
 
-        A run that an earlier holder recorded for another life of it has lost its
-        runner, or has come to this life after all: it is stopped, not started again.
+        If an earlier holder recorded a run for another incarnation of this runner, the
+        run either was lost with that incarnation or has reached this one. It is
+        therefore stopped and not started again.
         """
         self.runners[runner.runner_id] = runner
         given_up: list[Task] = []
@@ -121,22 +124,22 @@
             for attempt in job.attempts():
                 if attempt.runner_id != runner.runner_id:
                     continue
-                if attempt.is_of_other_life(runner.born_ms):
-                    given_up += self._crashes.settle_orphan(attempt)
-                    self._stop_on_next_life(attempt, runner)
+                if attempt.is_of_other_incarnation(runner.born_ms):
+                    given_up += self._crashes.attribute_orphan_exit(attempt)
+                    self._stop_on_next_incarnation(attempt, runner)
                 else:
                     runner.add(attempt.task.name, attempt)
         for task in given_up:
             self._outcomes.give_up(task)
 
-    def _stop_on_next_life(self, attempt: Attempt, runner: RunnerState) -> None:
-        """Have a run stopped whose start may have come to this life of its runner."""
-        attempt.be_unconfirmed(runner.born_ms)
+    def _stop_on_next_incarnation(self, attempt: Attempt, runner: RunnerState) -> None:
+        """Stop a run whose start may have reached this incarnation of its runner."""
+        attempt.reset_confirmation(runner.born_ms)
         runner.add(attempt.task.name, attempt)
-        self.stops.want_anew(attempt, "runner-restarted")
+        self.stops.request_stop_again(attempt, "runner-restarted")
 
-    def runner_over(self, runner_id: str, why: str) -> None:
-        """A runner's life has surely ended: nothing runs there any more."""
+    def runner_exited(self, runner_id: str, why: str) -> None:
+        """Handle the certain exit of a runner incarnation and of all its runs."""
         runner = self.runners.pop(runner_id, None)
         if runner is None:
             return
@@ -145,26 +148,27 @@
             "runner-over",
             extra=_describe_loss(runner, why),
         )
-        self._lapse(attempts, runner)
+        self._expire(attempts, runner)
 
-    def _lapse(self, attempts: t.Sequence[Attempt], runner: RunnerState) -> None:
-        """Have lost tasks placed again, but for those that ended their runners."""
-        given_up = self._crashes.settle(runner)
+    def _expire(self, attempts: t.Sequence[Attempt], runner: RunnerState) -> None:
+        """Requeue lost tasks, and give up those that caused too many runner exits."""
+        given_up = self._crashes.attribute_exit(runner)
         for attempt in attempts:
-            self._ledger.lapse(attempt, runner)
+            self._ledger.expire(attempt, runner)
         for task in given_up:
             self._outcomes.give_up(task)
 
     def runner_restarted(self, before: RunnerState, after: RunnerState) -> None:
-        """Another life of a runner has taken the place of one, under the same id.
+        """Replace a runner incarnation with the next one under the same id.
 
-        Nothing that is known of the former life holds for the next one: neither its
-        clock nor what it listed, and its runs have ended with it. Runs whose starts may
-        have come to the next life are stopped there before their tasks wait again.
+        Nothing that is known about the former incarnation applies to the next one,
+        neither its clock nor its lists, and its runs have ended with it. Runs whose
+        starts may have reached the next incarnation are stopped there before their
+        tasks are queued again.
         """
         self.restarts += 1
-        lost = [a for a in before.attempts.values() if a.dies_with_life]
-        left = [a for a in before.attempts.values() if not a.dies_with_life]
+        lost = [a for a in before.attempts.values() if a.ends_with_incarnation]
+        left = [a for a in before.attempts.values() if not a.ends_with_incarnation]
         log.warning(
             "runner-restarted",
             extra=_describe_loss(before, "started again")
@@ -178,13 +182,13 @@
         if before.born_ms is not None:
             after.earlier_born_ms |= {before.born_ms}
         after.reserved, after.emptying = before.reserved, before.emptying
-        self._lapse(lost, before)
+        self._expire(lost, before)
         self.runners[after.runner_id] = after
         for attempt in left:
-            self._stop_on_next_life(attempt, after)
+            self._stop_on_next_incarnation(attempt, after)
 
-    def attempts_lapsed(self, runner_id: str, why: str) -> None:
-        """All that ran on a runner has surely lapsed; the runner may live."""
+    def attempts_expired(self, runner_id: str, why: str) -> None:
+        """Handle the certain expiry of all runs on a runner that may be alive."""
         runner = self.runners.get(runner_id)
         if runner is None or not runner.attempts:
             return
@@ -192,36 +196,36 @@
             "attempts-lapsed",
             extra=_describe_loss(runner, why),
         )
-        self._lapse(list(runner.attempts.values()), runner)
+        self._expire(list(runner.attempts.values()), runner)
 
     def orphans(self) -> list[Attempt]:
-        """Return the attempts on runners that are not known here."""
+        """Return the attempts on runners that this holder does not know."""
         return self._ledger.orphans()
 
     def drop_orphan(self, attempt: Attempt) -> None:
-        """An attempt on an unknown runner has surely lapsed."""
-        given_up = self._crashes.settle_orphan(attempt)
-        self._ledger.lapse(attempt, None)
+        """Handle the certain expiry of an attempt on an unknown runner."""
+        given_up = self._crashes.attribute_orphan_exit(attempt)
+        self._ledger.expire(attempt, None)
         for task in given_up:
             self._outcomes.give_up(task)
 
-    # What the runners say.
+    # Reports from runners.
 
     def on_hold(self, runner: RunnerState, reply: HoldReply) -> list[Stray]:
-        """Take a runner's lists; return the runs that should not be there."""
+        """Process a runner's lists and return the runs that should not be there."""
         return self._outcomes.on_hold(runner, reply)
 
     def confirm(self, attempt: Attempt, clock_ms: int) -> None:
-        """A runner has said that a run is there."""
+        """Handle a runner's confirmation that it has a run."""
         self._outcomes.confirm(attempt, clock_ms)
 
     def refuse(self, attempt: Attempt, why: str) -> None:
-        """A runner has said that it did not start a run, and will not."""
+        """Handle a runner's answer that it did not and will not start a run."""
         self._outcomes.refuse(attempt, why)
 
     @property
     def unlisted_runs(self) -> int:
-        """How many runs count as running and have not been listed for long."""
+        """The number of runs that count as running but have long not been listed."""
         since_s = boot_s() - self.settings.unlisted_s
         return sum(
             0 < attempt.unlisted_since_s < since_s
@@ -232,39 +236,39 @@
     # Stops.
 
     def stop(self, attempt: Attempt, reason: str) -> None:
-        """Have a run stopped; its task waits again once it has ended."""
-        self.stops.want(attempt, reason)
+        """Have a run stopped; its task is queued again once the run has ended."""
+        self.stops.request_stop(attempt, reason)
 
     def take_stops(self) -> list[Attempt]:
-        """Return the runs for which a stop is to be sent now; the caller sends it."""
+        """Return the runs whose stop is due to be sent; the caller sends it."""
         return self.stops.take()
 
     @property
     def overdue_stops(self) -> int:
-        """How many runs had been to be stopped for too long, at the last look."""
+        """The number of overdue stops at the last call of `log_overdue_stops`."""
         return self.stops.overdue
 
-    def watch_stops(self) -> None:
-        """Tell of runs that go on though they have been to be stopped for long."""
-        self.stops.tell_overdue()
+    def log_overdue_stops(self) -> None:
+        """Log runs that are still there although their stop is overdue."""
+        self.stops.log_overdue()
 
-    # Copies, and runs that lag behind.
+    # Speculative copies and lagging runs.
 
-    def want_copies(self, runner_id: str) -> bool:
-        """Have copies run elsewhere of what a silent runner has, where steps allow.
+    def request_copies(self, runner_id: str) -> bool:
+        """Request speculative copies of a silent runner's runs where steps allow it.
 
-        :return: whether some copy is wanted that was not before.
+        :return: whether a copy was requested that was not requested before.
         """
-        return self._lags.want_copies(runner_id)
+        return self._lags.request_copies(runner_id)
 
-    def watch_progress(self) -> bool:
-        """Copy or move runs that lag behind; return whether any do."""
+    def handle_lagging_runs(self) -> bool:
+        """Copy or move runs that lag; return whether there were any."""
         return self._lags.watch()
 
     # Placement.
 
     def begin_due(self, now_s: float) -> float | None:
-        """Create the times that fall due; return when the next one does."""
+        """Create the occurrences that are due; return when the next one is due."""
         next_s: float | None = None
         for job in self.open_jobs():
             if job.over:
@@ -280,7 +284,7 @@
         return next_s
 
     def ready_steps(self) -> dict[str, list[StepRun]]:
-        """Return the steps that have something to place, by pool."""
+        """Return the steps that have tasks to place, by pool."""
         found: dict[str, list[StepRun]] = {}
         for job in self.open_jobs():
             if job.over:
@@ -296,9 +300,11 @@
         now_s: float,
         tickets: t.Callable[[StepRun], t.Collection[str] | None],
     ) -> list[Attempt]:
-        """Place what there is room for in all pools; return the new attempts.
+        """Place the tasks for which resources are free in all pools.
 
-        :param tickets: the ids of the runners that may run a step; None: all.
+        :param tickets: returns the ids of the runners that may run a step; None means
+            all.
+        :return: the new attempts.
         """
         placed: list[Attempt] = []
         for service, steps in self.ready_steps().items():
@@ -313,23 +319,25 @@
         tickets: t.Callable[[StepRun], t.Collection[str] | None],
     ) -> list[Attempt]:
         runners = usable_runners(self.runners.values(), service)
-        largest = LargestRoom.among(runners)
+        largest = LargestFreeCapacity.among(runners)
         placed: list[Attempt] = []
         candidates = self._candidates(steps, largest, len(runners))
         for step in order_steps(candidates, self.times, now_s):
-            in_need = self._in_need(step)
-            most = self._account_room(step)
-            if not most or (not in_need and not largest.may_fit(step)):
-                self._tell_placed(step, [], len(runners))
+            last_resort = self._needs_last_resort(step)
+            max_count = self._account_capacity(step)
+            if not max_count or (not last_resort and not largest.may_fit(step)):
+                self._log_placement(step, [], len(runners))
                 continue
             usable = runners
-            if in_need:
-                usable = usable_runners(self.runners.values(), service, in_need=True)
-            attempts = self._place_step(step, usable, now_s, tickets(step), most)
+            if last_resort:
+                usable = usable_runners(
+                    self.runners.values(), service, last_resort=True
+                )
+            attempts = self._place_step(step, usable, now_s, tickets(step), max_count)
             placed.extend(attempts)
             if not attempts:
-                # Room has become less since it was measured.
-                largest = LargestRoom.among(runners)
+                # Free capacity has decreased since it was computed.
+                largest = LargestFreeCapacity.among(runners)
         return placed
 
     def _place_step(
@@ -338,44 +346,44 @@
         usable: t.Sequence[RunnerState],
         now_s: float,
         tickets: t.Collection[str] | None,
-        most: int,
+        max_count: int,
     ) -> list[Attempt]:
         planned = [
             (placement, _next_run(placement.task))
-            for placement in place_step(step, usable, now_s, tickets, most)
+            for placement in place_step(step, usable, now_s, tickets, max_count)
         ]
         attempts = [self._plan(p.task, p.runner, run) for p, run in planned]
-        self._tell_placed(step, planned, len(usable))
+        self._log_placement(step, planned, len(usable))
         return attempts
 
-    def _account_room(self, step: StepRun) -> int:
+    def _account_capacity(self, step: StepRun) -> int:
         """Return how many more tasks of a step its client account may have running."""
         job, request = step.occurrence.job, step.request
-        return self.accounts.room_for(job, request, len(step.tasks))
+        return self.accounts.count_fitting(job, request, len(step.tasks))
 
     def _candidates(
-        self, steps: t.Iterable[StepRun], largest: LargestRoom, usable: int
+        self, steps: t.Iterable[StepRun], largest: LargestFreeCapacity, usable: int
     ) -> list[StepRun]:
-        """Return the steps worth sorting: those that some runner has room for."""
+        """Return the steps worth sorting: those that may fit on some runner."""
         found: list[StepRun] = []
         for step in steps:
-            if largest.may_fit(step) or self._in_need(step):
+            if largest.may_fit(step) or self._needs_last_resort(step):
                 found.append(step)
             else:
-                self._tell_placed(step, [], usable)
+                self._log_placement(step, [], usable)
         return found
 
     @staticmethod
-    def _tell_placed(
+    def _log_placement(
         step: StepRun, planned: list[tuple[Placement, int]], usable: int
     ) -> None:
-        """Say where tasks go; that a step waits is said once."""
-        if not planned and step.told_waiting:
+        """Log where tasks are placed; log only once that a step waits."""
+        if not planned and step.waiting_logged:
             return
         left = len(step.waiting())
         if not planned and not left:
             return
-        step.told_waiting = left > 0
+        step.waiting_logged = left > 0
         occurrence = step.occurrence
         log.info(
             "tasks-placed" if planned else "tasks-wait",
@@ -389,8 +397,8 @@
             },
         )
 
-    def _in_need(self, step: StepRun) -> bool:
-        """Whether lasting tasks have waited for so long that any runner will do."""
+    def _needs_last_resort(self, step: StepRun) -> bool:
+        """Whether long-running tasks have waited so long that any runner will do."""
         if not step.request.lasting:
             return False
         since_s = boot_s() - self.settings.lasting_patience_s
@@ -401,14 +409,14 @@
         attempt = Attempt(task, task.last_run, runner.runner_id, born_ms=runner.born_ms)
         self._ledger.plan(attempt, runner)
         if task.suspect:
-            begin_trial(task, runner)
-        task.copy_wanted = False
+            begin_probation(task, runner)
+        task.copy_requested = False
         self._ledger.changed(task.step.occurrence.job)
         return attempt
 
 
 def _describe_loss(runner: RunnerState, why: str) -> dict[str, t.Any]:
-    """Return what the logs tell of a runner with which attempts are lost."""
+    """Return the log fields for a runner whose attempts are lost."""
     last = started_last(runner, boot_s())
     return {
         "runner": runner.runner_id,
@@ -419,7 +427,7 @@
 
 
 def _next_run(task: Task) -> int:
-    """Return the number of a task's next run; a gang's members share theirs."""
+    """Return the number of a task's next run; gang members share one number."""
     if not task.step.request.gang:
         return task.last_run + 1
     return max(member.last_run for member in task.step.tasks) + 1
--- a/src/streamthread/scheduler/lags.py
+++ b/src/streamthread/scheduler/lags.py
@@ -1,4 +1,4 @@
-"""What follows for runs that lag behind, and for those on silent runners."""
+"""Handles lagging runs and runs on silent runners."""
 
 import logbook
 
@@ -13,22 +13,22 @@
 from .model import Phase
 from .model import Task
 from .outcomes import Outcomes
+from .placement import has_required_label
 from .placement import is_avoided
-from .placement import suits
-from .progress import judge_progress
+from .progress import detect_lag
 from .progress import Lag
 from .progress import ProgressSettings
 
-__all__ = ["LagWatch"]
+__all__ = ["LagMonitor"]
 
 log = logbook.Logger("streamthread.scheduler")
 
 
-class LagWatch:
-    """Has runs that lag behind done elsewhere, too: by a copy, or after a stop.
+class LagMonitor:
+    """Has lagging runs done elsewhere, by a speculative copy or after a stop.
 
-    A copy runs beside the first run, where the step allows it; no other task may run
-    twice at a time.
+    A speculative copy runs beside the first run if the step allows it. No other task
+    may run twice at the same time.
     """
 
     def __init__(
@@ -45,79 +45,79 @@
         self._times = times
         self._settings = settings
 
-    def want_copies(self, runner_id: str) -> bool:
-        """Have copies run elsewhere of what a silent runner has, where steps allow.
+    def request_copies(self, runner_id: str) -> bool:
+        """Request speculative copies of a silent runner's runs where steps allow it.
 
-        :return: whether some copy is wanted that was not before.
+        :return: whether a copy was requested that was not requested before.
         """
         runner = self._ledger.runners.get(runner_id)
         if runner is None:
             return False
         self._crashes.suspect(runner)
         wanted = [
-            self._want_copy(attempt, runner, "silent")
+            self._request_copy(attempt, runner, "silent")
             for attempt in runner.attempts.values()
         ]
         return any(wanted)
 
     def watch(self) -> bool:
-        """Copy or move runs that lag behind; return whether any do."""
+        """Copy or move runs that lag; return whether there were any."""
         found = False
         for runner in list(self._ledger.runners.values()):
             if not runner.ready or not runner.attempts:
                 continue
             for attempt in list(runner.attempts.values()):
                 expected_s = self._times.learned_s(learning_key(attempt.task.step))
-                lag = judge_progress(attempt, expected_s, self._settings)
+                lag = detect_lag(attempt, expected_s, self._settings)
                 if lag is not None:
-                    found = self._leave(attempt, runner, lag) or found
+                    found = self._replace_run(attempt, runner, lag) or found
         return found
 
-    def _leave(self, attempt: Attempt, runner: RunnerState, lag: Lag) -> bool:
-        """Have a lagging run done elsewhere, if there is room."""
+    def _replace_run(self, attempt: Attempt, runner: RunnerState, lag: Lag) -> bool:
+        """Have a lagging run done elsewhere if there is free capacity."""
         task = attempt.task
         if task.step.request.speculative:
-            return self._want_copy(attempt, runner, lag.value)
+            return self._request_copy(attempt, runner, lag.value)
         if task.moves >= self._settings.most_moves:
             return False
-        if not self._has_room_elsewhere(task, runner):
+        if not self._fits_elsewhere(task, runner):
             return False
         task.moves += 1
-        task.avoid.add(runner.life)
+        task.avoid.add(runner.incarnation)
         self._outcomes.note_failure(runner)
         self._ledger.count(f"moved-{lag.value}")
-        _tell_lag(attempt, lag.value)
-        self._ledger.stops.want(attempt, lag.value)
+        _log_lag(attempt, lag.value)
+        self._ledger.stops.request_stop(attempt, lag.value)
         return True
 
-    def _want_copy(self, attempt: Attempt, runner: RunnerState, why: str) -> bool:
-        """Have one more run of a task placed, if it may have one and has none."""
+    def _request_copy(self, attempt: Attempt, runner: RunnerState, why: str) -> bool:
+        """Request a speculative copy of a task if it may have one and has none."""
         task = attempt.task
         request = task.step.request
-        if len(task.attempts) != 1 or task.copy_wanted:
+        if len(task.attempts) != 1 or task.copy_requested:
             return False
         if not self._crashes.may_copy(task):
             return False
         if not request.speculative or request.gang or attempt.phase is Phase.STOPPING:
             return False
-        task.copy_wanted = True
+        task.copy_requested = True
         task.waiting_since_s = boot_s()
-        task.avoid.add(runner.life)
+        task.avoid.add(runner.incarnation)
         self._ledger.count(f"copied-{why}")
-        _tell_lag(attempt, why)
+        _log_lag(attempt, why)
         return True
 
-    def _has_room_elsewhere(self, task: Task, runner: RunnerState) -> bool:
+    def _fits_elsewhere(self, task: Task, runner: RunnerState) -> bool:
         request = task.step.request
         return any(
-            suits(task.step, other)
+            has_required_label(task.step, other)
             and other.fits(request.cpu, request.memory_mb, request.gpu)
             for other in usable_runners(self._ledger.runners.values(), runner.service)
             if other is not runner and not is_avoided(task, other)
         )
 
 
-def _tell_lag(attempt: Attempt, why: str) -> None:
+def _log_lag(attempt: Attempt, why: str) -> None:
     log.info(
         "run-lags",
         extra={
@@ -133,5 +133,5 @@
 
 
 def _age_s(attempt: Attempt) -> float:
-    """Return for how long a run has been there; 0: not known to have begun."""
+    """Return how long a run has existed; 0 if it is not known to have begun."""
     return boot_s() - attempt.began_at_s if attempt.began_at_s else 0.0
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -1,4 +1,4 @@
-"""Which task goes to which runner: pure decisions over the present state."""
+"""Chooses runners for tasks, as pure decisions over the present state."""
 
 import collections
 import typing as t
@@ -12,44 +12,44 @@
 from .model import Occurrence
 from .model import StepRun
 from .model import Task
-from .trials import open_to
-from .trials import trial_runners
+from .probation import accepts_job
+from .probation import probation_runners
 
 __all__ = [
-    "LargestRoom",
+    "LargestFreeCapacity",
     "Placement",
+    "has_required_label",
     "is_avoided",
     "order_steps",
     "outlook",
     "place_step",
-    "suits",
     "urgency",
 ]
 
-URGENCY_KEPT_S = 0.3
-"""A step's urgency changes with learned run times and the time of day: slowly
-beside the slack of a second or more that jobs have."""
+URGENCY_CACHE_S = 0.3
+"""How long a step's urgency is cached. It depends on learned run times and the time of
+day, which change slowly compared with the slack of a second or more that jobs have."""
 
 
 @attrs.frozen
 class Placement:
-    """One task and the runner that is to run it."""
+    """A task and the runner that is to run it."""
 
     task: Task
     runner: RunnerState
 
 
-AVOID_PATIENCE_S = 1.5
-"""So long a failed task waits for room on a runner where it has not failed: about
-as long as a task runs."""
+AVOID_WAIT_S = 1.5
+"""How long a failed task waits for free capacity on a runner where it has not failed.
+This is about as long as a task runs."""
 
 
 @attrs.frozen
-class LargestRoom:
-    """The most room that any one runner has, of each kind.
+class LargestFreeCapacity:
+    """The maximum of each resource that any single runner has free.
 
-    Most steps of a long queue fit nowhere; this tells so without a look at each
-    runner for each of them.
+    Most steps of a long queue fit nowhere. This check detects that without looking at
+    each runner for each step.
     """
 
     cpu: int = -1
@@ -57,8 +57,8 @@
     gpu: int = -1
 
     @classmethod
-    def among(cls, runners: t.Iterable[RunnerState]) -> "LargestRoom":
-        """Return the largest room among runners; none of them: nothing fits."""
+    def among(cls, runners: t.Iterable[RunnerState]) -> "LargestFreeCapacity":
+        """Return the maxima over runners; without runners, nothing fits."""
         cpu = memory_mb = gpu = -1
         for runner in runners:
             cpu = max(cpu, runner.free_cpu)
@@ -67,31 +67,31 @@
         return cls(cpu, memory_mb, gpu)
 
     def may_fit(self, step: StepRun) -> bool:
-        """Whether one task of a step may fit somewhere."""
+        """Whether one task of a step may fit on some runner."""
         request = step.request
         return (
-            step.room_cpu <= self.cpu
+            step.reserved_cpu <= self.cpu
             and request.memory_mb <= self.memory_mb
             and request.gpu <= self.gpu
         )
 
 
 def open_chain_s(occurrence: Occurrence, times: RunTimes, only_open: bool) -> float:
-    """Return the length of the longest chain of a time's (open) steps."""
+    """Return the length of the longest chain of an occurrence's (open) steps."""
     ends: list[float] = []
     for step in occurrence.steps:
-        own_s = 0.0
+        step_s = 0.0
         if not (only_open and step.done) and not step.request.lasting:
-            own_s = times.expect_s(learning_key(step), step.request.estimate_ms)
+            step_s = times.expect_s(learning_key(step), step.request.estimate_ms)
         before_s = max((ends[n] for n in step.request.after), default=0.0)
-        ends.append(before_s + own_s)
+        ends.append(before_s + step_s)
     return max(ends, default=0.0)
 
 
 def outlook(occurrence: Occurrence, times: RunTimes) -> tuple[float, float]:
-    """Return how long a time's open chain takes, and when it has to have ended.
+    """Return the duration of an occurrence's open chain and its latest end.
 
-    :return: seconds, and a wall time: the latest end that meets the objective.
+    :return: seconds, and the latest wall time of an end that meets the objective.
     """
     job = occurrence.job
     chain_s = open_chain_s(occurrence, times, only_open=False)
@@ -101,11 +101,12 @@
 
 
 def urgency(step: StepRun, times: RunTimes, now_s: float) -> tuple[t.Any, ...]:
-    """Return the sort key of a step: what sorts first is placed first.
+    """Return the sort key of a step; steps that sort first are placed first.
 
-    By priority; within one, lasting tasks first, since they earn for as long as
-    they are at work; then the jobs that can still meet their objective, the
-    tightest first; then the others, the oldest first.
+    Steps are sorted by priority. Within a priority, long-running tasks come first,
+    since they are productive for as long as they run. Next come the jobs that can still
+    meet their objective, those with the least slack first, and then all others, the
+    oldest first.
     """
     job = step.occurrence.job
     if step.request.lasting:
@@ -119,15 +120,13 @@
 def order_steps(
     steps: t.Iterable[StepRun], times: RunTimes, now_s: float
 ) -> list[StepRun]:
-    """Return the steps in the order in which they get room."""
-    return sorted(steps, key=lambda step: _remembered_urgency(step, times, now_s))
+    """Return the steps in the order in which they are given resources."""
+    return sorted(steps, key=lambda step: _cached_urgency(step, times, now_s))
 
 
-def _remembered_urgency(
-    step: StepRun, times: RunTimes, now_s: float
-) -> tuple[t.Any, ...]:
-    """Return a step's urgency, worked out anew only now and then."""
-    if step.urgency is None or now_s - step.urgency_at_s > URGENCY_KEPT_S:
+def _cached_urgency(step: StepRun, times: RunTimes, now_s: float) -> tuple[t.Any, ...]:
+    """Return a step's urgency, recomputed only when the cached value is too old."""
+    if step.urgency is None or now_s - step.urgency_at_s > URGENCY_CACHE_S:
         step.urgency = urgency(step, times, now_s)
         step.urgency_at_s = now_s
     return step.urgency
@@ -138,47 +137,49 @@
     runners: t.Sequence[RunnerState],
     now_s: float,
     tickets: t.Collection[str] | None = None,
-    most: int | None = None,
+    max_count: int | None = None,
 ) -> list[Placement]:
-    """Return where the step's waiting tasks go, as far as there is room.
+    """Return placements for the step's waiting tasks, as far as capacity is free.
 
-    A gang goes all at once or not at all.
+    A gang is placed completely or not at all.
 
-    :param tickets: ids of the runners that may run the step; None: all.
-    :param most: so many tasks may be placed at most; None: any number.
+    :param tickets: ids of the runners that may run the step; None means all.
+    :param max_count: the maximum number of tasks to place; None means no limit.
     """
     waiting = [task for task in step.waiting() if task.not_before_s <= now_s]
     if not waiting:
         return []
     if step.request.gang and len(waiting) < len(step.tasks) - step.done_count:
         return []
-    if most is not None and len(waiting) > most:
+    if max_count is not None and len(waiting) > max_count:
         if step.request.gang:
             return []
-        waiting = waiting[:most]
+        waiting = waiting[:max_count]
     suitable = [
         runner
         for runner in runners
-        if suits(step, runner) and (tickets is None or runner.runner_id in tickets)
+        if has_required_label(step, runner)
+        and (tickets is None or runner.runner_id in tickets)
     ]
     if not step.request.lasting:
-        suitable = _sound(suitable, now_s)
+        suitable = _without_penalized(suitable, now_s)
     placed = _fill(step, waiting, suitable, now_s)
     if step.request.gang and len(placed) < len(waiting):
         return []
     return placed
 
 
-def _sound(runners: list[RunnerState], now_s: float) -> list[RunnerState]:
-    """Leave out runners that failed much lately, while most others did not.
+def _without_penalized(runners: list[RunnerState], now_s: float) -> list[RunnerState]:
+    """Exclude runners that recently failed often, while most others did not.
 
-    A runner that fails all at once always has room, and would draw all work.
+    A runner that fails every task immediately always has free capacity and would
+    attract all tasks.
     """
-    sound = [runner for runner in runners if runner.penalty_until_s <= now_s]
-    return sound if 2 * len(sound) >= len(runners) else runners
+    healthy = [runner for runner in runners if runner.penalty_until_s <= now_s]
+    return healthy if 2 * len(healthy) >= len(runners) else runners
 
 
-def _may_go_back(task: Task, runner: RunnerState, runners: int) -> bool:
+def _may_run_on(task: Task, runner: RunnerState, runners: int) -> bool:
     """Whether a task may run on a runner, where it may have failed before."""
     if any(attempt.runner_id == runner.runner_id for attempt in task.attempts):
         return False
@@ -186,15 +187,15 @@
         return True
     if len(task.avoid) >= runners:
         return True
-    return boot_s() - task.waiting_since_s > AVOID_PATIENCE_S
+    return boot_s() - task.waiting_since_s > AVOID_WAIT_S
 
 
 def is_avoided(task: Task, runner: RunnerState) -> bool:
-    """Whether a task failed, lagged behind or was silent in this life of a runner."""
-    return bool(task.avoid) and runner.life in task.avoid
+    """Whether a task failed, lagged or was silent on this runner incarnation."""
+    return bool(task.avoid) and runner.incarnation in task.avoid
 
 
-def suits(step: StepRun, runner: RunnerState) -> bool:
+def has_required_label(step: StepRun, runner: RunnerState) -> bool:
     """Whether a runner has the label that a step requires."""
     needs = step.request.requires
     return not needs or needs in runner.labels
@@ -206,32 +207,35 @@
     runners: t.Sequence[RunnerState],
     now_s: float,
 ) -> list[Placement]:
-    """Place a step's tasks, each on the runner with room that costs least."""
-    there = _count_per_runner(step)
+    """Place a step's tasks, each on the fitting runner with the lowest cost."""
+    placed_counts = _count_per_runner(step)
     job, clock_s = step.occurrence.job, boot_s()
-    open_ones = [runner for runner in runners if open_to(job, runner, clock_s)]
+    open_runners = [runner for runner in runners if accepts_job(job, runner, clock_s)]
     suspects = [task for task in waiting if task.suspect]
-    for_trial: list[RunnerState] = []
+    for_probation: list[RunnerState] = []
     if suspects:
         waits_since_s = min(task.waiting_since_s for task in suspects)
-        for_trial = trial_runners(job, runners, waits_since_s, clock_s)
+        for_probation = probation_runners(job, runners, waits_since_s, clock_s)
     if step.request.same_rack or suspects or any(task.avoid for task in waiting):
-        return _fill_one_by_one(waiting, open_ones, for_trial, there, now_s)
-    return _fill_in_order(waiting, open_ones, there, now_s)
+        return _fill_one_by_one(
+            waiting, open_runners, for_probation, placed_counts, now_s
+        )
+    return _fill_in_order(waiting, open_runners, placed_counts, now_s)
 
 
 def _fill_in_order(
     waiting: t.Sequence[Task],
     runners: t.Sequence[RunnerState],
-    there: collections.Counter[str],
+    placed_counts: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
-    """Place tasks that all see the same costs, with one look at each runner.
+    """Place tasks that all have the same costs, visiting each runner once.
 
-    A runner that is the best for one task is so for the next, until it is full.
+    A runner that is the best choice for one task remains the best for the next one
+    until it is full.
     """
     request = waiting[0].step.request
-    cpu = waiting[0].step.room_cpu
+    cpu = waiting[0].step.reserved_cpu
     fitting = [r for r in runners if r.fits(cpu, request.memory_mb, request.gpu)]
     fitting.sort(key=lambda runner: _cost(waiting[0], runner, 0, now_s, ()))
     placed: list[Placement] = []
@@ -240,8 +244,8 @@
         if not left:
             break
         if request.most_per_runner:
-            left = min(left, request.most_per_runner - there[runner.runner_id])
-        count = runner.room_for(cpu, request.memory_mb, request.gpu, left)
+            left = min(left, request.most_per_runner - placed_counts[runner.runner_id])
+        count = runner.count_fitting(cpu, request.memory_mb, request.gpu, left)
         tasks = waiting[len(placed) : len(placed) + count]
         placed.extend(Placement(task, runner) for task in tasks)
     return placed
@@ -250,19 +254,19 @@
 def _fill_one_by_one(
     waiting: t.Sequence[Task],
     runners: t.Sequence[RunnerState],
-    for_trial: t.Sequence[RunnerState],
-    there: collections.Counter[str],
+    for_probation: t.Sequence[RunnerState],
+    placed_counts: collections.Counter[str],
     now_s: float,
 ) -> list[Placement]:
-    """Place tasks whose costs differ, with the room that earlier ones take.
+    """Place tasks whose costs differ, counting what earlier ones take.
 
-    :param for_trial: the runners for tasks that may end them.
+    :param for_probation: the runners for tasks that may cause runner exits.
     """
     planned: collections.Counter[str] = collections.Counter()
     placed: list[Placement] = []
     for task in waiting:
-        usable = for_trial if task.suspect else runners
-        best = _best_runner(task, usable, there, planned, now_s, placed)
+        usable = for_probation if task.suspect else runners
+        best = _best_runner(task, usable, placed_counts, planned, now_s, placed)
         if best is None:
             if not task.avoid and not task.suspect:
                 break
@@ -275,26 +279,26 @@
 def _best_runner(
     task: Task,
     runners: t.Sequence[RunnerState],
-    there: collections.Counter[str],
+    placed_counts: collections.Counter[str],
     planned: collections.Counter[str],
     now_s: float,
     placed: t.Sequence[Placement],
 ) -> RunnerState | None:
-    """Return the runner with room for one more task that costs least.
+    """Return the runner with capacity for one more task that has the lowest cost.
 
-    :param there: how many of the step's tasks each runner has.
-    :param planned: how many more it gets by this call.
+    :param placed_counts: the number of the step's tasks that each runner already has.
+    :param planned: the number of tasks that this call adds to each runner.
     """
     request = task.step.request
-    cpu = task.step.room_cpu
+    cpu = task.step.reserved_cpu
     limit = request.most_per_runner
     best: RunnerState | None = None
     best_cost: tuple[t.Any, ...] = ()
     for runner in runners:
         count = planned[runner.runner_id]
-        if not _may_go_back(task, runner, len(runners)):
+        if not _may_run_on(task, runner, len(runners)):
             continue
-        if limit and there[runner.runner_id] + count >= limit:
+        if limit and placed_counts[runner.runner_id] + count >= limit:
             continue
         if not runner.fits(
             cpu * (count + 1),
@@ -321,15 +325,17 @@
     now_s: float,
     placed: t.Sequence[Placement],
 ) -> tuple[t.Any, ...]:
-    """Return how unwelcome a runner is: sound, near the data, then fullest.
+    """Return the cost of a runner, lower being better.
 
-    A suspect task goes with those of its job, and where the least is lost with it.
+    Runners without recent failures come first, then those near the data, then the
+    fullest. A suspect task goes beside other tasks of its job that are placed with it,
+    and then to the runner with the fewest attempts, where the fewest are lost with it.
     """
     request = task.step.request
-    unsound = runner.penalty_until_s > now_s or is_avoided(task, runner)
+    unhealthy = runner.penalty_until_s > now_s or is_avoided(task, runner)
     far = bool(request.near_rack) and request.near_rack != runner.rack
     split = bool(request.same_rack and placed and placed[0].runner.rack != runner.rack)
     if task.suspect:
         apart = not any(placement.runner is runner for placement in placed)
-        return (unsound, far, split, apart, len(runner.attempts))
-    return (unsound, far, split, runner.free_cpu - planned_cpu)
+        return (unhealthy, far, split, apart, len(runner.attempts))
+    return (unhealthy, far, split, runner.free_cpu - planned_cpu)
--- /dev/null
+++ b/src/streamthread/scheduler/stability.py
@@ -0,0 +1,40 @@
+"""Detects pools whose runners exit on their own."""
+
+from ..clocks import boot_s
+from .model import RunnerIncarnation
+
+__all__ = ["PoolStability"]
+
+EXIT_WINDOW_S = 10.0
+"""How long a runner exit counts. A runner that repeatedly goes down and up does so
+within this time."""
+
+
+class PoolStability:
+    """Counts, by pool, the runner exits that no task start explains.
+
+    :param unsteady_ends: the number of recent exits from which a pool counts as
+        unstable.
+    """
+
+    def __init__(self, unsteady_ends: int) -> None:
+        self._unsteady_ends = unsteady_ends
+        self._ended_at_s: dict[str, dict[RunnerIncarnation, float]] = {}
+
+    def record_exit(self, pool: str, incarnation: RunnerIncarnation) -> None:
+        """Record that a runner exited on its own, once for each incarnation."""
+        self._forget_old(pool)
+        self._ended_at_s.setdefault(pool, {}).setdefault(incarnation, boot_s())
+
+    def is_unstable(self, pool: str) -> bool:
+        """Whether enough runners of a pool have recently exited on their own."""
+        self._forget_old(pool)
+        return len(self._ended_at_s.get(pool, ())) >= self._unsteady_ends
+
+    def _forget_old(self, pool: str) -> None:
+        since_s = boot_s() - EXIT_WINDOW_S
+        ends = self._ended_at_s.get(pool, {})
+        for incarnation in [
+            incarnation for incarnation, at_s in ends.items() if at_s < since_s
+        ]:
+            del ends[incarnation]
