--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -266,8 +266,8 @@
         return pb.Beat(
             token=self.holder.token,
             sequence=self.holder.log.sequence,
-            doubtful=self.holder.trust.doubtful,
-            head_version=self.holder.trust.standstill_version,
+            doubtful=self.holder.lease_validity.doubtful,
+            head_version=self.holder.lease_validity.idle_head_version,
         )
 
     def _announced(self, announcement: pb.Announcement) -> pb.Announcement:
@@ -306,7 +306,7 @@
         holder = self.holder
         if holder is None:
             return
-        holder.trust.begin_release()
+        holder.lease_validity.begin_release()
         released = False
         try:
             async with asyncio.timeout(HAND_OVER_S):
--- a/src/streamthread/holder/trust.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -6,7 +6,7 @@
 from ..cell import LeaseTimes
 from ..clocks import boot_s
 
-__all__ = ["HolderTrust"]
+__all__ = ["LeaseValidity"]
 
 TRUST_POLL_S = 0.02
 """How often a doubtful holder looks whether it may go on: about three commits."""
@@ -15,7 +15,7 @@
 """A release that takes longer is not waited for: it takes two commits of 7 ms."""
 
 
-class HolderTrust:
+class LeaseValidity:
     """Trust in the last confirmed commit.
 
     :param most_hold_s: the longest that runners let themselves be held.
@@ -46,7 +46,7 @@
         return self.releasing and boot_s() - self._release_began_at_s > RELEASE_S
 
     @property
-    def standstill_version(self) -> int:
+    def idle_head_version(self) -> int:
         """The head row's version, while nothing is ordered before it changes.
 
         0 where something may be: a holder that trusts itself extends runs, also while
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -37,6 +37,7 @@
 from .housekeeping import Housekeeping
 from .inbox import InboxReader
 from .intake import Intake
+from .lease_validity import LeaseValidity
 from .listing import RunnerListing
 from .queue import QueueLoop
 from .queue import QueueOwner
@@ -44,13 +45,12 @@
 from .replay import until_read
 from .runner_desk import RunnerDesk
 from .runner_desk import RunnerDeskOwner
-from .trust import HolderTrust
 
 __all__ = ["Holder"]
 
 log = logbook.Logger("streamthread.holder")
 
-MOST_FAILURES = 10
+MAX_FAILURES = 10
 """Failures that nobody foresaw, in :data:`FAILURES_PERIOD_S`, after which the cell is
 handed over: what is wrong in this holder's memory is right again in the next one's,
 which reads all rows anew. Where a row is the reason, the next one does no better; each
@@ -75,7 +75,7 @@
         )
         self.active = False
         self.log = self._open_log()
-        self.trust = HolderTrust(
+        self.lease_validity = LeaseValidity(
             self.log, self.settings.times, self.settings.links.most_hold_s
         )
         self.sender = OrderSender(
@@ -133,8 +133,8 @@
             self.admission,
             self.token,
             lambda: self.inbox,
-            lambda: self.trust.trusted,
-            self.trust.may_accept,
+            lambda: self.lease_validity.trusted,
+            self.lease_validity.may_accept,
             self._on_accepted,
             self.kick,
             self.settings.forget_s,
@@ -192,7 +192,7 @@
 
     def _on_failure(self, name: str) -> None:
         """Hand the cell over once too much has failed that nobody foresaw."""
-        if self.context.failures.within(FAILURES_PERIOD_S) > MOST_FAILURES:
+        if self.context.failures.within(FAILURES_PERIOD_S) > MAX_FAILURES:
             self.failed = True
             self.give_up(f"too many failures, the last one in {name}")
 
@@ -249,20 +249,20 @@
     @property
     def trusted(self) -> bool:
         """Whether this daemon may rely on holding the cell."""
-        return self.trust.trusted
+        return self.lease_validity.trusted
 
     @property
     def releasing(self) -> bool:
         """Whether the cell is being given up: nothing new is ordered."""
-        return self.trust.releasing
+        return self.lease_validity.releasing
 
     async def until_trusted(self) -> None:
         """Return once this daemon may rely on holding the cell."""
-        await self.trust.until_trusted()
+        await self.lease_validity.until_trusted()
 
     def may_extend_s(self, wanted_s: float) -> float:
         """Return for how long runs may be extended now; 0: not at all."""
-        return self.trust.may_extend_s(wanted_s)
+        return self.lease_validity.may_extend_s(wanted_s)
 
     # Recording.
 
--- a/src/streamthread/holder/tests/test_trust.py
+++ b/src/streamthread/holder/tests/test_trust.py
@@ -5,16 +5,16 @@
 from streamthread.cell import CommitLog
 from streamthread.cell import LeaseTimes
 from streamthread.clocks import boot_s
-from streamthread.holder.trust import HolderTrust
-from streamthread.holder.trust import RELEASE_S
+from streamthread.holder.lease_validity import LeaseValidity
+from streamthread.holder.lease_validity import RELEASE_S
 
 HEAD_VERSION = 17
 
 
-def _trust(confirmed_s_ago: float) -> HolderTrust:
+def _trust(confirmed_s_ago: float) -> LeaseValidity:
     confirmed_at_s = boot_s() - confirmed_s_ago
     log = CommitLog(t.cast(t.Any, None), "main", 1, HEAD_VERSION, confirmed_at_s, 0.4)
-    return HolderTrust(log, LeaseTimes(), most_hold_s=6.0)
+    return LeaseValidity(log, LeaseTimes(), most_hold_s=6.0)
 
 
 class TestTrust:
@@ -38,7 +38,7 @@
 
 class TestStandstill:
     async def test_is_told_by_a_holder_that_orders_nothing(self) -> None:
-        assert _trust(2.0).standstill_version == HEAD_VERSION
+        assert _trust(2.0).idle_head_version == HEAD_VERSION
 
     async def test_is_not_told_while_runs_may_be_extended(self) -> None:
         """A release that is not taken makes it doubtful, but it goes on holding."""
@@ -47,4 +47,4 @@
         trust._release_began_at_s -= 2 * RELEASE_S
         assert trust.doubtful
         assert trust.may_extend_s(3.0) > 0
-        assert trust.standstill_version == 0
+        assert trust.idle_head_version == 0
--- a/tests/cell/test_cancels.py
+++ b/tests/cell/test_cancels.py
@@ -66,7 +66,7 @@
             daemon = await cell.until_ready()
             caller = await _run(cell)
             assert daemon.holder is not None
-            daemon.holder.trust.begin_release()
+            daemon.holder.lease_validity.begin_release()
             await _cancel(caller)
             await _until_nothing_runs(cell)
             assert [how for _, _, how, _ in cell.world.ended] == ["stopped"]
--- a/tests/cell/test_cancels_without_job.py
+++ b/tests/cell/test_cancels_without_job.py
@@ -337,7 +337,7 @@
             assert await caller.submit(JOB_ID, _lasting(), at) == 200
             await until(lambda: _runs(cell), "the task runs")
             assert old.holder is not None
-            old.holder.trust.begin_release()
+            old.holder.lease_validity.begin_release()
             await _until_confirmed(caller, at)
             await _until_next_holder(cell, old)
             await _assert_cancelled(cell)
--- a/tests/cell/test_foreign_entries.py
+++ b/tests/cell/test_foreign_entries.py
@@ -170,7 +170,7 @@
     async def test_that_go_on_hand_the_cell_over(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(service, "MOST_FAILURES", 2)
+        monkeypatch.setattr(service, "MAX_FAILURES", 2)
         async with running_cell(POOLS, daemon_count=2) as cell:
             first = await cell.until_ready()
             assert first.holder is not None
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -332,7 +332,7 @@
 
     async def _release(self, for_s: float) -> None:
         holder = self._holders[-1]
-        holder.trust.begin_release()
+        holder.lease_validity.begin_release()
         await asyncio.sleep(for_s)
         holder.give_up("handed over")
         if holder is self._holders[-1]:
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -15,7 +15,7 @@
 import streamthread
 from streamthread.cell import CommitLog
 from streamthread.cell import LeaseTimes
-from streamthread.holder.trust import HolderTrust
+from streamthread.holder.lease_validity import LeaseValidity
 from streamthread.leases import LeaseRecord
 from streamthread.leases import LeaseService
 from streamthread.leases import LeaseSettings
@@ -51,7 +51,7 @@
         nothing = t.cast(t.Any, None)
         began_at_s = time.clock_gettime(time.CLOCK_BOOTTIME)
         log = CommitLog(nothing, "main", 1, 17, began_at_s, 0.4)
-        trust = HolderTrust(log, LeaseTimes(), most_hold_s=6.0)
+        trust = LeaseValidity(log, LeaseTimes(), most_hold_s=6.0)
         assert trust.trusted
         machine.suspended_s = SUSPENDED_S
         assert not trust.trusted
