--- a/src/streamthread/holder/admission.py
+++ b/src/streamthread/holder/admission.py
@@ -7,12 +7,12 @@
 from ..scheduler import Job
 from ..scheduler.accounts import may_see
 from .context import ManifestSource
-from .kept_cancels import Cancel
+from .pending_cancels import Cancel
 
-__all__ = ["AdmissionDesk"]
+__all__ = ["AdmissionPolicy"]
 
 
-class AdmissionDesk:
+class AdmissionPolicy:
     """Judges calls by the newer of two configurations: the sender's and ours."""
 
     def __init__(self, documents: ManifestSource) -> None:
@@ -40,7 +40,7 @@
         manifest = self.manifest
         return manifest.limit_of(account) if manifest is not None else None
 
-    def judge(self, request: pb.CallRequest) -> str | None:
+    def authorize(self, request: pb.CallRequest) -> str | None:
         """Return the account that a call is made for, or None where it may not be made.
 
         A key that was taken away opens nothing at a daemon that does not know it yet,
@@ -77,7 +77,7 @@
             return True
         return bool(account) and account not in manifest.accounts
 
-    def is_meant(self, job: Job, route: str, account: str) -> bool:
+    def refers_to(self, job: Job, route: str, account: str) -> bool:
         """Whether a caller at a queue means a job of the id that it names.
 
         Its route may have another name by now; that of another queue is not meant, nor
@@ -87,7 +87,7 @@
 
     def covers(self, cancel: Cancel, job: Job) -> bool:
         """Whether a cancel means a job of its id."""
-        return self.is_meant(job, cancel.route, cancel.account)
+        return self.refers_to(job, cancel.route, cancel.account)
 
     def _is_same_queue(self, route: str, other: str) -> bool:
         """Whether two names may stand for one route; one that is gone was renamed."""
--- a/src/streamthread/holder/duties.py
+++ b/src/streamthread/holder/duties.py
@@ -23,19 +23,19 @@
 from .machines import PendingDuty
 from .owner import DutyOwner
 from .sizes import PoolSizes
-from .waves import WaveBook
-from .waves import WaveWork
+from .waves import WavePlanner
+from .waves import WaveRegistry
 
 __all__ = ["DutyLoop"]
 
 log = logbook.Logger("streamthread.duties")
 
-ORDER_FLIGHT_S = 0.5
+MAX_ORDER_LATENCY_S = 0.5
 """An order that was sent has reached the cloud by then: a call takes 5 ms, and 0.25 s
 while the cloud is 50 times slower."""
 
 
-def quiet_time_s(alone_at_s: float, now_s: float) -> float:
+def in_flight_wait_s(alone_at_s: float, now_s: float) -> float:
     """Return for how long an earlier holder's orders may still reach the cloud.
 
     The cloud does not refuse them.
@@ -43,7 +43,7 @@
     :param alone_at_s: on the boot clock: no such order is sent later.
     :param now_s: on the same clock.
     """
-    return max(0.0, alone_at_s + ORDER_FLIGHT_S - now_s)
+    return max(0.0, alone_at_s + MAX_ORDER_LATENCY_S - now_s)
 
 
 class DutyLoop:
@@ -64,32 +64,32 @@
             owner.context.documents,
             cloud,
             settings,
-            self._on_life_over,
+            self._on_runner_exit,
             owner.context.notes,
         )
         self._sizes = PoolSizes(owner.engine, settings.capacity)
-        self._book = WaveBook(owner, settings.tick_s)
-        self._waves = WaveWork(owner, self._book, self._table, settings.upkeep)
+        self._registry = WaveRegistry(owner, settings.tick_s)
+        self._waves = WavePlanner(owner, self._registry, self._table, settings.upkeep)
         self.moves = 0
         self.upkeeps = 0
 
     async def run(self) -> None:
         """Do the duties until the cell is lost."""
-        await self._book.restore()
-        await asyncio.sleep(quiet_time_s(self._owner.taken.alone_at_s, boot_s()))
+        await self._registry.restore()
+        await asyncio.sleep(in_flight_wait_s(self._owner.taken.alone_at_s, boot_s()))
         while True:
             await self._owner.until_trusted()
             if await self._table.refresh():
                 self._decide()
             await asyncio.sleep(self._settings.tick_s)
 
-    def note_job(self, service: str, work: float, at_s: float) -> None:
+    def record_job(self, service: str, work: float, at_s: float) -> None:
         """Count a job's work among a pool's arrivals.
 
         :param work: thousandths of a core times seconds.
         :param at_s: when it arrived, on the boot clock.
         """
-        self._sizes.note_job(service, work, at_s)
+        self._sizes.record_job(service, work, at_s)
 
     # Decisions.
 
@@ -109,13 +109,13 @@
         }
         targets = self._sizes.targets(pools, views.values())
         for wave in documents.waves.values():
-            plan = self._waves.plan(wave, views, self._sizes.lately)
+            plan = self._waves.plan(wave, views, self._sizes.recent_max)
             if plan is not None:
                 for machine_id in plan.begin:
                     self._begin_upkeep(wave, machine_id)
                 self._waves.empty(plan.empty)
         self._waves.end_round()
-        self._sizes.tell(targets, views.values())
+        self._sizes.log_sizes(targets, views.values())
         self._decide_moves(pools, targets, views)
 
     def _decide_moves(
@@ -128,14 +128,14 @@
 
         :param views: from before those orders, which concern due machines alone.
         """
-        keeps = self._sizes.keeps(views.values())
-        lately = self._sizes.lately
-        wanted = [
+        retained_machines = self._sizes.retained_machines(views.values())
+        recent_max = self._sizes.recent_max
+        pool_views = [
             PoolView(
                 pool.name,
                 pool.is_spare,
-                self._wanted(pool.name, targets),
-                max(keeps.get(pool.name, 0), lately.get(pool.name, 0)),
+                self._wanted_size(pool.name, targets),
+                max(retained_machines.get(pool.name, 0), recent_max.get(pool.name, 0)),
             )
             for pool in pools
         ]
@@ -145,13 +145,13 @@
             else view
             for view in views.values()
         ]
-        for move in plan_moves(wanted, machines, self._settings.capacity):
+        for move in plan_moves(pool_views, machines, self._settings.capacity):
             self._begin_move(move)
 
-    def _wanted(self, pool: str, targets: dict[str, int]) -> int:
+    def _wanted_size(self, pool: str, targets: dict[str, int]) -> int:
         """One machine more while one of the pool's is to be swapped for upkeep."""
         target = targets.get(pool, 0)
-        return target + 1 if self._waves.is_swapping(pool) else target
+        return target + 1 if self._waves.has_unordered_upkeep(pool) else target
 
     # Orders.
 
@@ -217,7 +217,7 @@
         """Send an order, unless the machine got something to do meanwhile."""
         await self._owner.until_trusted()
         if self._owner.releasing or not self._table.may_send(machine, pending):
-            self._table.drop(machine, pending, "no longer free")
+            self._table.discard(machine, pending, "no longer free")
             return
         pending.sent_at_s = boot_s()
         try:
@@ -230,7 +230,7 @@
             )
             return
         except StreamthreadError as error:
-            self._table.drop(machine, pending, str(error))
+            self._table.discard(machine, pending, str(error))
             return
         self._on_answer(machine, pending, reply)
 
@@ -243,14 +243,14 @@
         there now is well: the list shows which life is over.
         """
         if reply is not DutyReply.DONE:
-            self._table.drop(machine, pending, reply.value)
+            self._table.discard(machine, pending, reply.value)
             if reply is DutyReply.NOT_IN_WAVE:
-                self._book.mark_begun(pending.wave, machine.machine_id)
+                self._registry.mark_begun(pending.wave, machine.machine_id)
             return
         if pending.kind is DutyKind.UPKEEP:
-            self._book.mark_begun(pending.wave, machine.machine_id)
+            self._registry.mark_begun(pending.wave, machine.machine_id)
 
-    def _on_life_over(self, runner_id: str, since_s: float, why: str) -> None:
+    def _on_runner_exit(self, runner_id: str, since_s: float, why: str) -> None:
         link = self._owner.links.get(runner_id)
         # A life that began after the list was asked for is the one after the duty.
         if link is not None and link.held_since_s < since_s:
--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -16,13 +16,13 @@
 
 log = logbook.Logger("streamthread.holder")
 
-TROUBLE_POLL_S = 0.1
+COMMIT_FAILURE_POLL_S = 0.1
 """How often we look whether commits have begun to fail, or work again."""
 
-FORGET_EVERY_S = 1.0
+FORGET_INTERVAL_S = 1.0
 """How often ended jobs are looked for."""
 
-WATCH_RUNS_S = 0.25
+WATCH_RUNS_INTERVAL_S = 0.25
 """How often runs are looked at: their runners tell of them every 0.8 s."""
 
 
@@ -38,7 +38,7 @@
     async def watch_runs(self) -> None:
         """Have runs done elsewhere that lag behind or are out of reach."""
         while True:
-            await asyncio.sleep(WATCH_RUNS_S)
+            await asyncio.sleep(WATCH_RUNS_INTERVAL_S)
             await self._owner.until_trusted()
             for link in self._owner.links.values():
                 if link.silent and self._engine.want_copies(link.runner.runner_id):
@@ -47,25 +47,25 @@
             if self._engine.watch_progress():
                 self._owner.kick()
 
-    async def hold_through_trouble(self) -> None:
+    async def extend_while_commits_fail(self) -> None:
         """Extend all runs at once when commits begin to fail; refuse what waits."""
-        troubled = False
+        failing = False
         while True:
-            await asyncio.sleep(TROUBLE_POLL_S)
+            await asyncio.sleep(COMMIT_FAILURE_POLL_S)
             self._intake.refuse_overdue()
-            before, troubled = troubled, self._owner.log.in_trouble()
-            if troubled and not before and self._owner.trusted:
+            before, failing = failing, self._owner.log.in_trouble()
+            if failing and not before and self._owner.trusted:
                 log.warning("commits-fail", extra={"runners": len(self._owner.links)})
                 for link in list(self._owner.links.values()):
                     self._owner.spawn(link.extend_once())
-            elif before and not troubled:
+            elif before and not failing:
                 log.info("commits-work-again")
 
-    async def forget_at_intervals(self) -> None:
+    async def forget_ended_jobs(self) -> None:
         """Drop what has ended, and take inbox rows that waited for their route."""
         settings = self._owner.context.settings
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
+            await asyncio.sleep(FORGET_INTERVAL_S)
             self._inbox.retry()
             for job in self._engine.forget(time.time() - settings.forget_s):
                 self._owner.log.mark(TABLE_JOBS, job.job_id, lambda: None)
@@ -77,8 +77,8 @@
         Not a moment later: a lasting task of theirs runs nowhere meanwhile.
         """
         bound_s = self._owner.context.settings.links.lapse_bound_s
-        lapsed_at_s = self._owner.taken.last_hold_at_s + bound_s
-        await asyncio.sleep(max(0.0, lapsed_at_s - boot_s()))
+        expired_at_s = self._owner.taken.last_hold_at_s + bound_s
+        await asyncio.sleep(max(0.0, expired_at_s - boot_s()))
         for attempt in self._engine.orphans():
             self._engine.drop_orphan(attempt)
             self._owner.kick()
--- a/src/streamthread/holder/inbox.py
+++ b/src/streamthread/holder/inbox.py
@@ -23,8 +23,8 @@
 from ..platform.store import StoredRow
 from ..platform.table_feed import TableFeed
 from ..scheduler.accounts import may_see
-from .kept_cancels import Cancel
-from .kept_cancels import KEPT_SUFFIX
+from .pending_cancels import Cancel
+from .pending_cancels import PENDING_CANCEL_SUFFIX
 from .replay import RETRY_S
 
 __all__ = ["InboxEntry", "InboxOwner", "InboxReader", "inbox_key"]
@@ -99,7 +99,7 @@
     A kept cancel's key has two more parts, any other one (:func:`inbox_key`); ids may
     hold dots.
     """
-    return key.rsplit(".", 2 if key.endswith(KEPT_SUFFIX) else 1)[0]
+    return key.rsplit(".", 2 if key.endswith(PENDING_CANCEL_SUFFIX) else 1)[0]
 
 
 def inbox_key(entry: InboxEntry) -> str:
@@ -115,30 +115,30 @@
         """Whether a job is known, whatever its state."""
 
     @abstractmethod
-    def keep_known(self, job_id: str) -> None:
+    def mark_acknowledged(self, job_id: str) -> None:
         """Learn that a job that is known was acknowledged by whoever left it here."""
 
     @abstractmethod
-    def accept_left(self, entry: InboxEntry) -> bool:
+    def accept_from_inbox(self, entry: InboxEntry) -> bool:
         """Take a job; return False where the configuration has not come here yet."""
 
     @abstractmethod
-    def cancel_left(self, cancel: Cancel) -> None:
+    def cancel_from_inbox(self, cancel: Cancel) -> None:
         """Cancel a job that is known, where the cancel means it."""
 
     @abstractmethod
-    def keep_cancel(self, cancel: Cancel, may_come: bool) -> bool:
+    def retain_cancel(self, cancel: Cancel, may_arrive: bool) -> bool:
         """Keep a cancel of a job that is not known; return whether its row is needed.
 
         :param may_come: whether the job is sure to be able to come yet.
         """
 
     @abstractmethod
-    def keep_aside(self, job_id: str, error: BadInputError) -> None:
+    def exclude_job(self, job_id: str, error: BadInputError) -> None:
         """Learn of a row that can't be read; a job may have been accepted with it."""
 
     @abstractmethod
-    def drop_left(self, key: str) -> None:
+    def delete_row(self, key: str) -> None:
         """Have a row removed from the inbox."""
 
 
@@ -154,8 +154,8 @@
         self._owner = owner
         self.waiting: dict[str, StoredRow] = {}
         self._waiting_jobs: dict[str, InboxEntry] = {}
-        self._look: asyncio.Task[None] | None = None
-        self._next_look: asyncio.Task[None] | None = None
+        self._current_read: asyncio.Task[None] | None = None
+        self._next_read: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
         """Take what is left in the inbox until the cell is lost."""
@@ -190,30 +190,32 @@
         :raises StoreUnavailableError: the inbox can't be read.
         :raises OutcomeUnknownError: the inbox can't be read.
         """
-        if self._next_look is None:
-            self._next_look = asyncio.ensure_future(self._look_after(self._look))
+        if self._next_read is None:
+            self._next_read = asyncio.ensure_future(
+                self._read_after(self._current_read)
+            )
         # Whoever asks may give up; others wait for the same look.
-        await asyncio.shield(self._next_look)
+        await asyncio.shield(self._next_read)
 
-    async def _look_after(self, before: "asyncio.Task[None] | None") -> None:
+    async def _read_after(self, before: "asyncio.Task[None] | None") -> None:
         if before is not None:
             await asyncio.wait((before,))
             if before.cancelled() or before.exception() is not None:
                 # The store refuses reads, and counts each of them.
                 await asyncio.sleep(RETRY_S)
-        self._look, self._next_look = self._next_look, None
+        self._current_read, self._next_read = self._next_read, None
         self.take(await self._feed.look())
 
     def take(self, rows: t.Iterable[StoredRow]) -> None:
         """Take rows; a whole read brings them by key, a cancel before its job."""
         for row in sorted(rows, key=lambda row: row.version):
-            self._take_row(row)
+            self._process_row(row)
 
     def retry(self) -> None:
         """Take the rows that wait, should their route or job be known by now."""
         self.take(list(self.waiting.values()))
 
-    def _take_row(self, row: StoredRow) -> None:
+    def _process_row(self, row: StoredRow) -> None:
         self.waiting.pop(row.key, None)
         self._waiting_jobs.pop(row.key, None)
         if row.value is None or row.version == ABSENT:
@@ -221,31 +223,31 @@
         try:
             entry = InboxEntry.decode(row.value)
         except UnreadableError as error:
-            self._owner.keep_aside(job_id_of(row.key), error)
+            self._owner.exclude_job(job_id_of(row.key), error)
             return
-        if self._settle(entry):
-            self._owner.drop_left(row.key)
+        if self._process(entry):
+            self._owner.delete_row(row.key)
             return
         self.waiting[row.key] = row
         if not entry.is_cancel:
             self._waiting_jobs[row.key] = entry
 
-    def _settle(self, entry: InboxEntry) -> bool:
+    def _process(self, entry: InboxEntry) -> bool:
         """Return whether an entry needs its row no more."""
         known = self._owner.knows_job(entry.job_id)
         if not entry.is_cancel and known:
-            self._owner.keep_known(entry.job_id)
+            self._owner.mark_acknowledged(entry.job_id)
             return True
         if not entry.is_cancel:
-            return self._owner.accept_left(entry)
+            return self._owner.accept_from_inbox(entry)
         cancel = Cancel(entry.job_id, entry.route, entry.account)
         if not known:
-            may_come = self.waits(entry.job_id, entry.account)
-            return not self._owner.keep_cancel(cancel, may_come)
-        self._owner.cancel_left(cancel)
+            may_arrive = self.has_waiting_job(entry.job_id, entry.account)
+            return not self._owner.retain_cancel(cancel, may_arrive)
+        self._owner.cancel_from_inbox(cancel)
         return True
 
-    def waits(self, job_id: str, account: str) -> bool:
+    def has_waiting_job(self, job_id: str, account: str) -> bool:
         """Whether a job waits here for its route that an account may know of."""
         return any(
             entry.job_id == job_id and may_see(account, entry.account)
--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -23,20 +23,20 @@
 from ..scheduler.accounts import over_limit
 from ..unreadable import Source
 from ..unreadable import UnreadableNotes
-from .admission import AdmissionDesk
-from .handins import HandIns
+from .admission import AdmissionPolicy
 from .inbox import InboxEntry
 from .inbox import InboxOwner
 from .inbox import InboxReader
-from .kept_cancels import Cancel
-from .kept_cancels import kept_key
-from .kept_cancels import KeptCancels
+from .pending_cancels import Cancel
+from .pending_cancels import pending_cancel_key
+from .pending_cancels import PendingCancels
+from .submissions import Submissions
 
 __all__ = ["Intake"]
 
 log = logbook.Logger("streamthread.holder")
 
-STORE_COME_BACK_S = 1.0
+STORE_RETRY_AFTER_S = 1.0
 """When to come back while the store is down: outages last some seconds."""
 
 
@@ -58,19 +58,19 @@
         self,
         engine: Engine,
         commits: CommitLog,
-        admission: AdmissionDesk,
+        admission: AdmissionPolicy,
         token: int,
         inbox: t.Callable[[], InboxReader],
         is_trusted: t.Callable[[], bool],
         may_accept: t.Callable[[], bool],
-        accepted: t.Callable[[Job], None],
+        on_accepted: t.Callable[[Job], None],
         kick: t.Callable[[], None],
-        keep_cancels_s: float,
+        retain_cancels_s: float,
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
         # Accepted jobs of which a row can't be read.
-        self._aside: set[str] = set()
+        self._excluded: set[str] = set()
         self._engine = engine
         self._commits = commits
         self._admission = admission
@@ -78,22 +78,22 @@
         self._inbox = inbox
         self._is_trusted = is_trusted
         self._may_accept = may_accept
-        self._accepted = accepted
+        self._on_accepted = on_accepted
         self._kick = kick
-        self._kept = KeptCancels(keep_cancels_s)
-        self._hand_ins = HandIns(engine, commits)
+        self._pending_cancels = PendingCancels(retain_cancels_s)
+        self._submissions = Submissions(engine, commits)
         self.refused: dict[str, int] = {}
 
     # Calls.
 
     async def answer(self, request: pb.CallRequest) -> pb.CallReply:
         """Answer a caller's request, here or passed on by a peer."""
-        account = self._admission.judge(request)
+        account = self._admission.authorize(request)
         if account is None:
             reason = "a newer configuration does not know the key"
             return pb.CallReply(outcome=pb.NOT_ADMITTED, reason=reason)
         request.account = account
-        if request.job_id in self._aside:
+        if request.job_id in self._excluded:
             return pb.CallReply(outcome=pb.UNCERTAIN, reason="its row can't be read")
         if request.kind == pb.PENDING:
             count = self._engine.pending_count(request.route)
@@ -103,7 +103,7 @@
                 return await self._submit(request)
             if request.kind == pb.CANCEL:
                 return await self._cancel(request)
-            return await self._tell_state(request)
+            return await self._report_state(request)
         except (NotHolderError, StoreUnavailableError, OutcomeUnknownError):
             # Another daemon may know more, or have taken what we did not commit.
             return pb.CallReply(outcome=pb.UNCERTAIN)
@@ -127,7 +127,7 @@
 
     # States.
 
-    async def _tell_state(self, request: pb.CallRequest) -> pb.CallReply:
+    async def _report_state(self, request: pb.CallRequest) -> pb.CallReply:
         """Tell a state as it is known here.
 
         A holder that doubts itself tells it, too, so that an outage of the store hides
@@ -140,23 +140,23 @@
             await self._commits.confirmed()
             job = self._engine.jobs.get(job_id)
         if job is None:
-            return self._tell_waiting(request)
-        if not self._is_meant(job, request):
+            return self._report_waiting(request)
+        if not self._refers_to(job, request):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         await self._until_durable(job)
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
-    def _is_meant(self, job: Job, request: pb.CallRequest) -> bool:
+    def _refers_to(self, job: Job, request: pb.CallRequest) -> bool:
         """Whether a call means a job of the id that it names."""
-        return self._admission.is_meant(job, request.route, request.account)
+        return self._admission.refers_to(job, request.route, request.account)
 
-    def _tell_waiting(self, request: pb.CallRequest) -> pb.CallReply:
+    def _report_waiting(self, request: pb.CallRequest) -> pb.CallReply:
         """Tell of a job that waits in the inbox for its route, if there is one."""
-        if not self._inbox().waits(request.job_id, request.account):
+        if not self._inbox().has_waiting_job(request.job_id, request.account):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         cancelled = any(
             may_see(cancel.account, request.account)
-            for cancel in self._kept.of_job(request.job_id)
+            for cancel in self._pending_cancels.of_job(request.job_id)
         )
         state = JobState.CANCELLED if cancelled else JobState.PENDING
         return pb.CallReply(outcome=pb.OK, state=state.value)
@@ -167,7 +167,7 @@
         :raises NotHolderError: the cell is lost.
         :raises OutcomeUnknownError: the job is not kept.
         """
-        if not await self._hand_ins.until_kept(job):
+        if not await self._submissions.until_durable(job):
             raise OutcomeUnknownError(
                 "the job was taken back", remedy="hand it in again"
             )
@@ -179,22 +179,22 @@
     async def _submit(self, request: pb.CallRequest) -> pb.CallReply:
         job = self._engine.jobs.get(request.job_id)
         if job is None:
-            refusal = await self._until_may_take()
+            refusal = await self._until_may_accept()
             if refusal is not None:
                 return refusal
-            found = self._engine.jobs.get(request.job_id) or self._take(request)
+            found = self._engine.jobs.get(request.job_id) or self._submit_new(request)
             if isinstance(found, pb.CallReply):
                 return found
             job = found
         if not may_see(request.account, job.account):
             # The id is taken; who took it is told to nobody else.
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
-        if not await self._hand_ins.until_kept(job):
+        if not await self._submissions.until_durable(job):
             return _refuse("the store does not take commits")
         await self._until_durable(job)
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
-    async def _until_may_take(self) -> pb.CallReply | None:
+    async def _until_may_accept(self) -> pb.CallReply | None:
         """Return None once a new job may be taken, else a refusal.
 
         The inbox may hold the cancel of a job that is handed in once more.
@@ -209,7 +209,7 @@
             return _refuse("the store does not give the inbox")
         return None
 
-    def _take(self, request: pb.CallRequest) -> Job | pb.CallReply:
+    def _submit_new(self, request: pb.CallRequest) -> Job | pb.CallReply:
         """Take a new job, or say why not."""
         route = self._admission.route(request.route)
         version, account = request.configuration_version, request.account
@@ -223,7 +223,7 @@
             return pb.CallReply(outcome=pb.REFUSED, reason=str(error))
         refusal = over_limit(job, self._admission.limit_of(account))
         if refusal:
-            return self._refuse_account(account, refusal)
+            return self._refuse_for_account(account, refusal)
         return self._accept(job)
 
     def _accept(self, job: Job) -> Job:
@@ -245,22 +245,22 @@
                 "token": self._token,
             },
         )
-        cancels = self._kept.of_job(job_id)
-        self._kept.forget_job(job_id)
+        cancels = self._pending_cancels.of_job(job_id)
+        self._pending_cancels.forget_job(job_id)
         if any(self._admission.covers(cancel, job) for cancel in cancels):
             self._cancel_now(job, "kept")
         else:
-            self._accepted(job)
+            self._on_accepted(job)
         return job
 
-    def _refuse_account(self, account: str, reason: str) -> pb.CallReply:
+    def _refuse_for_account(self, account: str, reason: str) -> pb.CallReply:
         """Refuse a hand-in for a reason that lies with its account."""
         self.refused[account] = self.refused.get(account, 0) + 1
         return pb.CallReply(outcome=pb.REFUSED, reason=reason)
 
     def refuse_overdue(self) -> None:
         """Refuse the hand-ins that wait for commits which hang, where that is true."""
-        self._hand_ins.take_back_if_overdue(self._may_accept())
+        self._submissions.withdraw_if_overdue(self._may_accept())
 
     # Cancels.
 
@@ -268,7 +268,7 @@
         job = await self._find(request.job_id)
         if job is None:
             return await self._cancel_unknown(request)
-        if not self._is_meant(job, request):
+        if not self._refers_to(job, request):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         if not job.over:
             self._cancel_now(job, "call")
@@ -284,15 +284,15 @@
         taken the job from there, it would fail.
         """
         job_id = request.job_id
-        self._tell_no_job(job_id, "call")
+        self._log_unknown_job(job_id, "call")
         cancel = Cancel(job_id, request.route, request.account)
-        self._kept.keep(cancel)
+        self._pending_cancels.add(cancel)
         row = InboxEntry(job_id, request.route, account=request.account).encode()
-        self._commits.mark(TABLE_INBOX, kept_key(cancel), lambda: row)
+        self._commits.mark(TABLE_INBOX, pending_cancel_key(cancel), lambda: row)
         await self._commits.flushed()
-        return self._tell_waiting(request)
+        return self._report_waiting(request)
 
-    def _cancel_now(self, job: Job, came_by: str) -> None:
+    def _cancel_now(self, job: Job, source: str) -> None:
         """Cancel a job; the cancel is not durable yet.
 
         :param came_by: a call, the inbox, or kept since before the job came.
@@ -303,38 +303,38 @@
             "job-cancelled",
             extra={
                 "job": job.job_id,
-                "by": came_by,
+                "by": source,
                 "runs": runs,
                 "token": self._token,
             },
         )
         self._kick()
 
-    def _tell_no_job(self, job_id: str, came_by: str) -> None:
+    def _log_unknown_job(self, job_id: str, source: str) -> None:
         """Log that a cancel finds nothing, and is kept."""
         log.info(
             "cancel-without-job",
-            extra={"job": job_id, "by": came_by, "token": self._token},
+            extra={"job": job_id, "by": source, "token": self._token},
         )
 
     # Jobs that can't be read.
 
-    def keep_aside(self, job_id: str, error: BadInputError) -> None:
+    def exclude_job(self, job_id: str, error: BadInputError) -> None:
         """Leave a job alone of which a row can't be read; a caller was told it is kept.
 
         Its rows stay as they are, for a daemon that can read them. Until then nothing
         of it is started or stopped here, and callers are told neither that there is
         none nor that it was not taken.
         """
-        if job_id not in self._aside:
+        if job_id not in self._excluded:
             log.error("job-kept-aside", extra={"job": job_id, "why": str(error)})
-        self._aside.add(job_id)
+        self._excluded.add(job_id)
         if isinstance(error, UnreadableError):
             self._notes.note(Source.CELL_ROW, error)
 
-    def is_aside(self, job_id: str) -> bool:
+    def is_excluded(self, job_id: str) -> bool:
         """Whether a job is left alone since a row of it can't be read."""
-        return job_id in self._aside
+        return job_id in self._excluded
 
     # The inbox.
 
@@ -342,13 +342,13 @@
         """Whether a job is known, whatever its state."""
         return job_id in self._engine.jobs
 
-    def keep_known(self, job_id: str) -> None:
+    def mark_acknowledged(self, job_id: str) -> None:
         """Refuse a job no more that another daemon has acknowledged."""
         self._engine.jobs[job_id].left_in_inbox = True
 
-    def accept_left(self, entry: InboxEntry) -> bool:
+    def accept_from_inbox(self, entry: InboxEntry) -> bool:
         """Take a job; return False where the configuration has not come here yet."""
-        if self.is_aside(entry.job_id):
+        if self.is_excluded(entry.job_id):
             return False
         route = self._admission.route(entry.route)
         behind = self._admission.is_behind(
@@ -369,34 +369,34 @@
             )
         return True
 
-    def cancel_left(self, cancel: Cancel) -> None:
+    def cancel_from_inbox(self, cancel: Cancel) -> None:
         """Cancel a job that is known, where the cancel means it."""
         job = self._engine.jobs[cancel.job_id]
-        self._kept.forget(cancel)
+        self._pending_cancels.forget(cancel)
         if not job.over and self._admission.covers(cancel, job):
             self._cancel_now(job, "inbox")
 
-    def keep_cancel(self, cancel: Cancel, may_come: bool) -> bool:
+    def retain_cancel(self, cancel: Cancel, may_arrive: bool) -> bool:
         """Keep a cancel of a job that is not known; return whether its row is needed.
 
         :param may_come: whether the job is sure to be able to come yet.
         """
-        if not self._kept.knows(cancel):
-            self._tell_no_job(cancel.job_id, "inbox")
-            self._kept.keep(cancel)
-        elif may_come:
-            self._kept.keep(cancel)
-        if self._kept.covers(cancel):
+        if not self._pending_cancels.knows(cancel):
+            self._log_unknown_job(cancel.job_id, "inbox")
+            self._pending_cancels.add(cancel)
+        elif may_arrive:
+            self._pending_cancels.add(cancel)
+        if self._pending_cancels.covers(cancel):
             return True
-        self._kept.forget(cancel)
+        self._pending_cancels.forget(cancel)
         return False
 
-    def drop_left(self, key: str) -> None:
+    def delete_row(self, key: str) -> None:
         """Have a row removed from the inbox."""
         self._commits.mark(TABLE_INBOX, key, lambda: None)
 
 
 def _refuse(reason: str) -> pb.CallReply:
     return pb.CallReply(
-        outcome=pb.REFUSED, reason=reason, retry_after_s=STORE_COME_BACK_S
+        outcome=pb.REFUSED, reason=reason, retry_after_s=STORE_RETRY_AFTER_S
     )
--- a/src/streamthread/holder/lease_validity.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -8,10 +8,10 @@
 
 __all__ = ["LeaseValidity"]
 
-TRUST_POLL_S = 0.02
+VALIDITY_POLL_S = 0.02
 """How often a doubtful holder looks whether it may go on: about three commits."""
 
-RELEASE_S = 0.3
+RELEASE_TIMEOUT_S = 0.3
 """A release that takes longer is not waited for: it takes two commits of 7 ms."""
 
 
@@ -43,7 +43,9 @@
         """Whether others may take the cell: no commits, or no release in time."""
         if not self.trusted:
             return True
-        return self.releasing and boot_s() - self._release_began_at_s > RELEASE_S
+        return (
+            self.releasing and boot_s() - self._release_began_at_s > RELEASE_TIMEOUT_S
+        )
 
     @property
     def idle_head_version(self) -> int:
@@ -62,7 +64,7 @@
     async def until_trusted(self) -> None:
         """Return once this daemon may rely on holding the cell."""
         while not self.trusted:
-            await asyncio.sleep(TRUST_POLL_S)
+            await asyncio.sleep(VALIDITY_POLL_S)
 
     def may_accept(self) -> bool:
         """Whether a job that is accepted now most likely becomes durable soon."""
--- a/src/streamthread/holder/listing.py
+++ b/src/streamthread/holder/listing.py
@@ -21,7 +21,7 @@
 from ..unreadable import UnreadableNotes
 from .context import ManifestSource
 
-__all__ = ["ListedRunners", "RunnerListing"]
+__all__ = ["RunnerListHandler", "RunnerListing"]
 
 log = logbook.Logger("streamthread.holder")
 
@@ -34,7 +34,7 @@
 their runners live; what is missing then is gone (the users' pages)."""
 
 
-class ListedRunners(ABC):
+class RunnerListHandler(ABC):
     """Holds the runners that are listed."""
 
     @abstractmethod
@@ -66,22 +66,22 @@
         links: dict[str, RunnerLink],
         documents: ManifestSource,
         pause_s: float,
-        desk: ListedRunners,
+        handler: RunnerListHandler,
         notes: UnreadableNotes,
     ) -> None:
         self._feed = TableFeed(store, RUNNERS_TABLE, "", FEED_WAIT_S)
         self._links = links
         self._documents = documents
         self._pause_s = pause_s
-        self._desk = desk
+        self._handler = handler
         self._notes = notes
         # Entries of pools that no configuration has named yet, by runner id.
         self._unnamed: dict[str, RunnerEntry] = {}
         self._manifest: Manifest | None = None
         # The store did not answer lately, so that entries may have lapsed.
-        self._away = False
+        self._store_failed = False
         # Runs while runners whose entries lapsed may still write them again.
-        self._grace: asyncio.TimerHandle | None = None
+        self._grace_timer: asyncio.TimerHandle | None = None
         # Runners without an entry, which are taken as listed until the grace ends.
         self._missing: set[str] = set()
 
@@ -92,8 +92,8 @@
                 await self._read()
                 await asyncio.sleep(self._pause_s)
         except asyncio.CancelledError:
-            if self._grace is not None:
-                self._grace.cancel()
+            if self._grace_timer is not None:
+                self._grace_timer.cancel()
             raise
 
     async def _read(self) -> None:
@@ -101,17 +101,17 @@
             update = await self._feed.next()
         except (StoreUnavailableError, OutcomeUnknownError) as error:
             log.warning("runners-unreadable", extra={"error": str(error)})
-            self._away = True
+            self._store_failed = True
             return
-        if self._away:
+        if self._store_failed:
             self._begin_grace()
-        self._take_named()
+        self._accept_named()
         if update.whole:
-            self._drop_unlisted({row.key for row in update.rows})
+            self._unlist_missing({row.key for row in update.rows})
         for row in update.rows:
             self._on_row(row)
 
-    def _take_named(self) -> None:
+    def _accept_named(self) -> None:
         """Take the entries whose pools a newer configuration names."""
         manifest = self._documents.manifest
         if manifest is self._manifest:
@@ -121,26 +121,26 @@
         for entry in waiting.values():
             self._on_entry(entry)
 
-    def _names(self, pool: str) -> bool:
+    def _is_named(self, pool: str) -> bool:
         """Whether the configuration names a pool; before the first one, any is."""
         manifest = self._documents.manifest
         return manifest is None or pool in manifest.pools
 
     def _begin_grace(self) -> None:
         """The store is back: runners whose entries are missing may still write."""
-        self._away = False
-        if self._grace is not None:
-            self._grace.cancel()
+        self._store_failed = False
+        if self._grace_timer is not None:
+            self._grace_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._grace = loop.call_later(RETURN_GRACE_S, self._end_grace)
+        self._grace_timer = loop.call_later(RETURN_GRACE_S, self._end_grace)
 
     def _end_grace(self) -> None:
-        self._grace = None
+        self._grace_timer = None
         missing, self._missing = self._missing, set()
         for runner_id in missing:
             self._unlist(runner_id)
 
-    def _drop_unlisted(self, listed: set[str]) -> None:
+    def _unlist_missing(self, listed: set[str]) -> None:
         for runner_id in list(self._links):
             if runner_id not in listed:
                 self._unlist(runner_id)
@@ -164,16 +164,16 @@
         self._on_entry(entry)
 
     def _on_entry(self, entry: RunnerEntry) -> None:
-        if not self._names(entry.service):
+        if not self._is_named(entry.service):
             self._unnamed[entry.runner_id] = entry
             self._suspend(entry.runner_id, "no configuration names its pool")
             return
         link = self._links.get(entry.runner_id)
         if link is None:
-            self._desk.add_runner(entry)
+            self._handler.add_runner(entry)
             return
         if link.runner.is_next_life(entry.born_ms):
-            self._desk.restart_runner(link, entry)
+            self._handler.restart_runner(link, entry)
             return
         if entry.born_ms in link.runner.earlier_born_ms:
             # The runner has told of its next life before its entry did.
@@ -211,7 +211,7 @@
         link = self._links.get(runner_id)
         if link is None or not link.listed:
             return
-        if self._grace is not None and not link.silent:
+        if self._grace_timer is not None and not link.silent:
             self._missing.add(runner_id)
         else:
             log.info("runner-unlisted", extra={"runner": runner_id})
--- a/src/streamthread/holder/lasting.py
+++ b/src/streamthread/holder/long_running.py
@@ -12,15 +12,15 @@
 from ..upkeep.plan import count_away
 from ..upkeep.plan import may_stop_lasting
 
-__all__ = ["LastingTasks"]
+__all__ = ["LongRunningTasks"]
 
 log = logbook.Logger("streamthread.duties")
 
-AT_WORK_PERCENT = 100.0
+WORKING_PERCENT = 100.0
 """A lasting task is at work when its runner says so much."""
 
 
-class LastingTasks:
+class LongRunningTasks:
     """Stops lasting tasks, as far as their steps can miss one more.
 
     :param kick: has the queue looked at soon, so that the stops are sent.
@@ -36,8 +36,8 @@
             step = attempt.task.step
             if not step.request.lasting or attempt.phase is not Phase.CONFIRMED:
                 continue
-            away = self._others_away(step, attempt)
-            if may_stop_lasting(away, step.request.may_miss):
+            unavailable = self._count_unavailable(step, attempt)
+            if may_stop_lasting(unavailable, step.request.may_miss):
                 log.info(
                     "lasting-task-moved",
                     extra={"task": attempt.task.name, "runner": runner.runner_id},
@@ -45,16 +45,16 @@
                 self._engine.stop(attempt, "upkeep")
                 self._kick()
 
-    def _others_away(self, step: StepRun, attempt: Attempt) -> int:
+    def _count_unavailable(self, step: StepRun, attempt: Attempt) -> int:
         """Return how many other tasks of a step are not surely at work."""
         others = (task for task in step.tasks if task is not attempt.task)
         return count_away(
-            any(self._is_at_work(a) for a in task.attempts) for task in others
+            any(self._is_working(a) for a in task.attempts) for task in others
         )
 
-    def _is_at_work(self, attempt: Attempt) -> bool:
+    def _is_working(self, attempt: Attempt) -> bool:
         """What a runner said last counts only while it still answers."""
         runner = self._engine.runners.get(attempt.runner_id)
         if runner is None or not runner.ready:
             return False
-        return attempt.phase is Phase.CONFIRMED and attempt.percent >= AT_WORK_PERCENT
+        return attempt.phase is Phase.CONFIRMED and attempt.percent >= WORKING_PERCENT
--- a/src/streamthread/holder/machines.py
+++ b/src/streamthread/holder/machines.py
@@ -25,7 +25,7 @@
 
 log = logbook.Logger("streamthread.duties")
 
-UNDER_DUTY = (MachineState.MOVING, MachineState.UPKEEP)
+DUTY_STATES = (MachineState.MOVING, MachineState.UPKEEP)
 """Whatever ran on a machine died as it came into one of these."""
 
 
@@ -75,7 +75,7 @@
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
-        self._on_life_over = on_life_over
+        self._on_runner_exit = on_life_over
         self._engine = engine
         self._documents = documents
         self._cloud = cloud
@@ -84,7 +84,7 @@
         self._idle_since_s: dict[str, float] = {}
         self._up_since_s: dict[str, float] = {}
         # By machine id: processor and memory, the most that was ever listed.
-        self._full_room: dict[str, tuple[int, int]] = {}
+        self._full_capacity: dict[str, tuple[int, int]] = {}
         self.machines: dict[str, Machine] = {}
         self.pending: dict[str, PendingDuty] = {}
 
@@ -125,7 +125,7 @@
         self.machines.update(unknown)
         for machine in listed.machines:
             self._notes.clear(Source.MACHINE, machine.machine_id)
-            self._settle(machine, now_s)
+            self._reconcile(machine, now_s)
         return True
 
     def _unreadable(self, rows: t.Iterable[UnreadableMachine]) -> dict[str, Machine]:
@@ -134,18 +134,18 @@
         One that is under a duty stays so: else another would go down beside it. Any
         other one counts as down, so that nothing is ordered for it.
         """
-        kept: dict[str, Machine] = {}
+        retained: dict[str, Machine] = {}
         for row in rows:
             self._notes.note(Source.MACHINE, row.error)
             before = self.machines.get(row.machine_id)
             if before is None:
                 continue
-            if before.state not in UNDER_DUTY:
+            if before.state not in DUTY_STATES:
                 before = attrs.evolve(before, state=MachineState.DOWN)
-            kept[row.machine_id] = before
-        return kept
+            retained[row.machine_id] = before
+        return retained
 
-    def _settle(self, machine: Machine, asked_at_s: float) -> None:
+    def _reconcile(self, machine: Machine, asked_at_s: float) -> None:
         """Compare a machine with what was ordered for it."""
         runner = self.runner_of(machine)
         if runner is not None:
@@ -157,10 +157,10 @@
         pending = self.pending.get(machine.machine_id)
         if pending is None or asked_at_s < pending.sent_at_s:
             return
-        pending.begun = pending.begun or machine.state in UNDER_DUTY
+        pending.begun = pending.begun or machine.state in DUTY_STATES
         changed = machine.runner_id != pending.runner_before
-        if changed or machine.state in UNDER_DUTY:
-            self._on_life_over(
+        if changed or machine.state in DUTY_STATES:
+            self._on_runner_exit(
                 pending.runner_before, asked_at_s, f"machine in {pending.kind.value}"
             )
         if machine.state is not MachineState.UP:
@@ -202,7 +202,7 @@
         runner = self.runner_of(machine)
         return runner is None or runner.idle
 
-    def drop(self, machine: Machine, pending: PendingDuty, why: str) -> None:
+    def discard(self, machine: Machine, pending: PendingDuty, why: str) -> None:
         """Forget an order that was surely not carried out."""
         log.info(
             "duty-refused",
@@ -240,7 +240,7 @@
         else:
             moving = machine.state is MachineState.MOVING
             arriving = not usable and (pending is not None or moving)
-        cpu, memory_mb = self._room_of(machine)
+        cpu, memory_mb = self._capacity_of(machine)
         return MachineView(
             machine_id=machine.machine_id,
             pool=_pool_after(machine, pending),
@@ -255,15 +255,15 @@
             lost_share=_lost_share(cpu, runner) if up and not off else 0.0,
         )
 
-    def _room_of(self, machine: Machine) -> tuple[int, int]:
+    def _capacity_of(self, machine: Machine) -> tuple[int, int]:
         """Return a machine's processor and memory without what it lacks for a while.
 
         A pool's size is reckoned by its smallest machine: one whose room has shrunk to
         a tenth would have ten times the machines ordered.
         """
-        cpu, memory_mb = self._full_room.get(machine.machine_id, (0, 0))
+        cpu, memory_mb = self._full_capacity.get(machine.machine_id, (0, 0))
         full = (max(cpu, machine.cpu), max(memory_mb, machine.memory_mb))
-        self._full_room[machine.machine_id] = full
+        self._full_capacity[machine.machine_id] = full
         return full
 
     def _is_arriving(
--- a/src/streamthread/holder/owner.py
+++ b/src/streamthread/holder/owner.py
@@ -43,7 +43,7 @@
         """Return once this daemon may rely on holding the cell."""
 
     @abstractmethod
-    async def read_own(self, table: str) -> Page:
+    async def read_cell_table(self, table: str) -> Page:
         """Read one of the cell's tables, however long the store takes."""
 
     @abstractmethod
--- a/src/streamthread/holder/kept_cancels.py
+++ b/src/streamthread/holder/pending_cancels.py
@@ -6,12 +6,12 @@
 
 from ..clocks import boot_s
 
-__all__ = ["KEPT_SUFFIX", "Cancel", "KeptCancels", "kept_key"]
+__all__ = ["PENDING_CANCEL_SUFFIX", "Cancel", "PendingCancels", "pending_cancel_key"]
 
-KEPT_SUFFIX = ".kept"
+PENDING_CANCEL_SUFFIX = ".kept"
 """What the keys of kept cancels end in."""
 
-MOST_KEPT = 500
+MAX_PENDING_CANCELS = 500
 """Each is looked at every second, in some 5 microseconds. Callers rarely cancel what is
 not known; one that does so all the time must not slow the holder down."""
 
@@ -28,15 +28,15 @@
     account: str = ""
 
 
-def kept_key(cancel: Cancel) -> str:
+def pending_cancel_key(cancel: Cancel) -> str:
     """Return the key of a kept cancel in the inbox: each replaces the one before."""
-    named_by = cancel.route
+    caller = cancel.route
     if cancel.account:
-        named_by = f"{cancel.route}\n{cancel.account}"
-    return f"{cancel.job_id}.{zlib.crc32(named_by.encode()):08x}{KEPT_SUFFIX}"
+        caller = f"{cancel.route}\n{cancel.account}"
+    return f"{cancel.job_id}.{zlib.crc32(caller.encode()):08x}{PENDING_CANCEL_SUFFIX}"
 
 
-class KeptCancels:
+class PendingCancels:
     """The jobs that are cancelled should they come.
 
     A hand-in may come after its cancel: a caller repeats it, or the store writes its
@@ -45,23 +45,23 @@
 
     :param keep_s: a cancel is kept for so long. An ended job is, too, and turns away
         the hand-ins that come after its cancel for no longer. Of more than
-        ``MOST_KEPT`` the oldest are given up sooner.
+        ``MAX_PENDING_CANCELS`` the oldest are given up sooner.
     """
 
-    def __init__(self, keep_s: float) -> None:
-        self._keep_s = keep_s
+    def __init__(self, retention_s: float) -> None:
+        self._retention_s = retention_s
         self._since_s: dict[Cancel, float] = {}
         # Until their rows are looked at again and dropped.
-        self._given_up: set[Cancel] = set()
+        self._evicted: set[Cancel] = set()
 
-    def keep(self, cancel: Cancel) -> None:
+    def add(self, cancel: Cancel) -> None:
         """Keep a cancel from now on."""
         self.forget(cancel)
         self._since_s[cancel] = boot_s()
-        if len(self._since_s) > MOST_KEPT:
+        if len(self._since_s) > MAX_PENDING_CANCELS:
             oldest = next(iter(self._since_s))
             del self._since_s[oldest]
-            self._given_up.add(oldest)
+            self._evicted.add(oldest)
 
     def of_job(self, job_id: str) -> list[Cancel]:
         """Return the cancels that count for a job, should it come."""
@@ -70,16 +70,16 @@
     def covers(self, cancel: Cancel) -> bool:
         """Whether a cancel counts still."""
         since_s = self._since_s.get(cancel)
-        return since_s is not None and boot_s() - since_s < self._keep_s
+        return since_s is not None and boot_s() - since_s < self._retention_s
 
     def knows(self, cancel: Cancel) -> bool:
         """Whether a cancel is kept, or was until its time was over."""
-        return cancel in self._since_s or cancel in self._given_up
+        return cancel in self._since_s or cancel in self._evicted
 
     def forget(self, cancel: Cancel) -> None:
         """Keep a cancel no more: its time is over."""
         self._since_s.pop(cancel, None)
-        self._given_up.discard(cancel)
+        self._evicted.discard(cancel)
 
     def forget_job(self, job_id: str) -> None:
         """Keep no cancel of a job any more: it has come."""
--- a/src/streamthread/holder/queue.py
+++ b/src/streamthread/holder/queue.py
@@ -15,13 +15,13 @@
 
 __all__ = ["QueueLoop", "QueueOwner"]
 
-LOOK_AT_MOST_S = 0.5
+MAX_PASS_INTERVAL_S = 0.5
 """The queue is looked at this often even when nothing is heard."""
 
-LEAST_PAUSE_S = 0.004
+MIN_PAUSE_S = 0.004
 """Between two looks at the queue: events of half a commit's time share one."""
 
-PAUSE_TIMES = 4.0
+PAUSE_FACTOR = 4.0
 """The pause is this many times what the last look took, so that looking takes a
 fifth of the processor at most, however long the queue is."""
 
@@ -57,7 +57,7 @@
     def __init__(self, owner: QueueOwner) -> None:
         self._owner = owner
         self._kick = asyncio.Event()
-        self._next_look_at_s = 0.0
+        self._next_pass_at_s = 0.0
 
     def kick(self) -> None:
         """Have the queue looked at soon."""
@@ -67,9 +67,9 @@
         """Look at the queue until the cell is lost."""
         while True:
             await self._owner.until_trusted()
-            await asyncio.sleep(max(0.0, self._next_look_at_s - boot_s()))
-            next_due_s = self._look_and_pause()
-            wait_s = LOOK_AT_MOST_S
+            await asyncio.sleep(max(0.0, self._next_pass_at_s - boot_s()))
+            next_due_s = self._run_pass_and_pause()
+            wait_s = MAX_PASS_INTERVAL_S
             if next_due_s is not None:
                 wait_s = min(wait_s, max(0.0, next_due_s - time.time()))
             try:
@@ -78,23 +78,23 @@
             except TimeoutError:
                 continue
 
-    def look_soon(self) -> None:
+    def run_pass_soon(self) -> None:
         """Look at once, or with the next look if the last one was just now."""
-        if boot_s() < self._next_look_at_s:
+        if boot_s() < self._next_pass_at_s:
             self.kick()
         else:
-            self._look_and_pause()
+            self._run_pass_and_pause()
 
-    def _look_and_pause(self) -> float | None:
+    def _run_pass_and_pause(self) -> float | None:
         """Look at the queue, and note when it may be looked at again."""
         began_at_s = boot_s()
-        next_due_s = self._look()
+        next_due_s = self._run_pass()
         ended_at_s = boot_s()
-        pause_s = (ended_at_s - began_at_s) * PAUSE_TIMES
-        self._next_look_at_s = ended_at_s + max(LEAST_PAUSE_S, pause_s)
+        pause_s = (ended_at_s - began_at_s) * PAUSE_FACTOR
+        self._next_pass_at_s = ended_at_s + max(MIN_PAUSE_S, pause_s)
         return next_due_s
 
-    def _look(self) -> float | None:
+    def _run_pass(self) -> float | None:
         """Return when the next time of a job falls due, if one does.
 
         Stops go out for as long as the cell is held: a holder that is about to release
--- a/src/streamthread/holder/replay.py
+++ b/src/streamthread/holder/replay.py
@@ -17,7 +17,7 @@
 from ..scheduler import Job
 from ..scheduler import restore_progress
 
-__all__ = ["RETRY_S", "Replayed", "read_jobs", "until_read"]
+__all__ = ["RETRY_S", "Replayed", "read_jobs", "read_with_retry"]
 
 log = logbook.Logger("streamthread.holder")
 
@@ -55,13 +55,13 @@
         if row.value is None:
             continue
         try:
-            jobs.append(_read_back(row.key, row.value, values.get(row.key)))
+            jobs.append(_restore_job(row.key, row.value, values.get(row.key)))
         except BadInputError as error:
             unreadable[row.key] = error
     return Replayed(tuple(jobs), unreadable, boot_s() - began_at_s)
 
 
-def _read_back(job_id: str, definition: bytes, progress: bytes | None) -> Job:
+def _restore_job(job_id: str, definition: bytes, progress: bytes | None) -> Job:
     """:raises BadInputError: one of the job's rows can't be read."""
     job = decode_row(job_id, definition)
     job.durable = True
@@ -70,7 +70,7 @@
     return job
 
 
-async def until_read(
+async def read_with_retry(
     read: t.Callable[[], t.Awaitable[Read]], event: str, **details: str
 ) -> Read:
     """Read until the store answers; log each failure as an event."""
--- a/src/streamthread/holder/runner_desk.py
+++ b/src/streamthread/holder/runner_manager.py
@@ -17,16 +17,16 @@
 from ..scheduler.model import job_id_of_task
 from ..scheduler.orders import OrderSender
 from ..sharing import plan_paces
-from .listing import ListedRunners
+from .listing import RunnerListHandler
 from .owner import DutyOwner
 from .queue import QueueLoop
 
-__all__ = ["RunnerDesk", "RunnerDeskOwner"]
+__all__ = ["RunnerManager", "RunnerManagerOwner"]
 
 log = logbook.Logger("streamthread.holder")
 
 
-class RunnerDeskOwner(DutyOwner):
+class RunnerManagerOwner(DutyOwner):
     """The holder, as its runners' desk sees it.
 
     :param sender: sends orders to runners.
@@ -45,7 +45,7 @@
         """Use no ticket more for a life of a runner that is over."""
 
     @abstractmethod
-    def is_aside(self, job_id: str) -> bool:
+    def is_excluded(self, job_id: str) -> bool:
         """Whether a job is left alone since a row of it can't be read."""
 
     @abstractmethod
@@ -53,10 +53,10 @@
         """Learn that a runner has seen a higher fencing token."""
 
 
-class RunnerDesk(LinkOwner, ListedRunners):
+class RunnerManager(LinkOwner, RunnerListHandler):
     """Keeps a link to each listed runner, and takes what the links tell."""
 
-    def __init__(self, owner: RunnerDeskOwner) -> None:
+    def __init__(self, owner: RunnerManagerOwner) -> None:
         self.token = owner.token
         self._owner = owner
         self._engine = owner.engine
@@ -75,7 +75,7 @@
                 "draining": entry.draining,
             },
         )
-        self._hold(runner, self._owner.taken.last_hold_at_s)
+        self._open_link(runner, self._owner.taken.last_hold_at_s)
 
     def restart_runner(self, link: RunnerLink, entry: RunnerEntry) -> None:
         """Take the entry of the life that follows the one which is held."""
@@ -94,10 +94,10 @@
         self._owner.forget_tickets(after.runner_id)
         # An order with a deadline by the former life's clock may have come to this one.
         other_clock_s = self._owner.context.settings.links.other_clock_s
-        self._hold(after, boot_s() + other_clock_s, listed)
+        self._open_link(after, boot_s() + other_clock_s, listed)
         self._owner.kick()
 
-    def _hold(
+    def _open_link(
         self, runner: RunnerState, last_hold_at_s: float, listed: bool = True
     ) -> None:
         context = self._owner.context
@@ -111,11 +111,11 @@
         )
         self._owner.links[runner.runner_id] = link
         # One runner's odd answers are no reason to hand the cell over.
-        keeper = LoopKeeper(context.failures, (NotHolderError,))
-        self._owner.spawn(keeper.keep("link", link.run))
-        self._send_again(runner)
+        supervisor = LoopKeeper(context.failures, (NotHolderError,))
+        self._owner.spawn(supervisor.keep("link", link.run))
+        self._resend_orders(runner)
 
-    def _send_again(self, runner: RunnerState) -> None:
+    def _resend_orders(self, runner: RunnerState) -> None:
         """Have the orders answered that an earlier holder recorded."""
         sender = self._owner.sender
         for attempt in list(runner.attempts.values()):
@@ -132,7 +132,7 @@
         """Take a runner's lists; return once the ends are durable."""
         sender = self._owner.sender
         for stray in self._engine.on_hold(link.runner, reply):
-            if not self._owner.is_aside(job_id_of_task(stray.task)):
+            if not self._owner.is_excluded(job_id_of_task(stray.task)):
                 self._owner.spawn(sender.stop_stray(stray))
         for order in plan_paces(link.runner, self._owner.context.settings.sharing):
             self._owner.spawn(sender.pace(order.attempt, order.percent))
@@ -140,7 +140,7 @@
             self._owner.kick()
         if not reply.ended:
             return
-        self._owner.queue.look_soon()
+        self._owner.queue.run_pass_soon()
         await self._owner.log.flushed()
 
     def pause_after_ends_s(self) -> float:
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -30,8 +30,8 @@
 from ..scheduler.fleet import usable_runners
 from ..scheduler.orders import OrderSender
 from ..scheduler.orders import SenderOwner
-from .admission import AdmissionDesk
-from .advice import AdviceDesk
+from .admission import AdmissionPolicy
+from .advice import AdviceCache
 from .context import HolderContext
 from .duties import DutyLoop
 from .housekeeping import Housekeeping
@@ -42,9 +42,9 @@
 from .queue import QueueLoop
 from .queue import QueueOwner
 from .replay import read_jobs
-from .replay import until_read
-from .runner_desk import RunnerDesk
-from .runner_desk import RunnerDeskOwner
+from .replay import read_with_retry
+from .runner_manager import RunnerManager
+from .runner_manager import RunnerManagerOwner
 
 __all__ = ["Holder"]
 
@@ -60,7 +60,7 @@
 """A loop that fails each time is begun again every 2 s: some 17 times in so long."""
 
 
-class Holder(SenderOwner, RunnerDeskOwner, QueueOwner):
+class Holder(SenderOwner, RunnerManagerOwner, QueueOwner):
     """Everything that only the cell's holder does, from take-over to loss."""
 
     def __init__(self, context: HolderContext, taken: TakenCell) -> None:
@@ -69,7 +69,7 @@
         self.taken = taken
         self.token = taken.owner.token
         self.links: dict[str, RunnerLink] = {}
-        self.admission = AdmissionDesk(context.documents)
+        self.admission = AdmissionPolicy(context.documents)
         self.engine = Engine(
             self._record_progress, self.settings.engine, self.admission.limit_of
         )
@@ -86,19 +86,21 @@
             self.duties = DutyLoop(self, context.cloud, self.settings.duties)
         self.advice = self._open_advice()
         self.queue = QueueLoop(self)
-        self._runner_desk = RunnerDesk(self)
+        self._runner_manager = RunnerManager(self)
         self._listing = RunnerListing(
             context.store,
             self.links,
             context.documents,
             self.settings.list_pause_s,
-            self._runner_desk,
+            self._runner_manager,
             context.notes,
         )
         self.intake = self._open_intake()
         self.inbox = self._open_inbox()
         self._housekeeping = Housekeeping(self, self.inbox, self.intake)
-        self._keeper = LoopKeeper(context.failures, (NotHolderError,), self._on_failure)
+        self._supervisor = LoopKeeper(
+            context.failures, (NotHolderError,), self._on_failure
+        )
         self.failed = False
         self._group: asyncio.TaskGroup | None = None
         self._lost: asyncio.Future[None] | None = None
@@ -116,10 +118,10 @@
             self.settings.times,
         )
 
-    def _open_advice(self) -> AdviceDesk | None:
+    def _open_advice(self) -> AdviceCache | None:
         if self.context.advice is None:
             return None
-        return AdviceDesk(
+        return AdviceCache(
             self.context.advice,
             self._policy,
             lambda pool: usable_runners(self.engine.runners.values(), pool),
@@ -164,7 +166,7 @@
                 await self.inbox.read()
                 self.active = True
                 for name, loop in self._loops():
-                    group.create_task(self._keeper.keep(name, loop))
+                    group.create_task(self._supervisor.keep(name, loop))
         except* NotHolderError as group_error:
             reasons = [str(error) for error in group_error.exceptions]
             log.warning("holder-ends", extra={"token": self.token, "why": reasons})
@@ -181,10 +183,10 @@
         yield "listing", self._listing.run
         yield "inbox", self.inbox.run
         yield "queue", self.queue.run
-        yield "forget", self._housekeeping.forget_at_intervals
+        yield "forget", self._housekeeping.forget_ended_jobs
         yield "orphans", self._housekeeping.drop_orphans
         yield "watch-runs", self._housekeeping.watch_runs
-        yield "trouble", self._housekeeping.hold_through_trouble
+        yield "trouble", self._housekeeping.extend_while_commits_fail
         if self.duties is not None:
             yield "duties", self.duties.run
         if self.advice is not None:
@@ -209,14 +211,14 @@
             )
 
     async def _replay(self) -> None:
-        replayed = await until_read(
+        replayed = await read_with_retry(
             lambda: read_jobs(self.context.store, self.settings.part), "replay-failed"
         )
         for job in replayed.jobs:
             self.engine.add(job)
-            self._note_arrival(job)
+            self._record_arrival(job)
         for job_id, error in replayed.unreadable.items():
-            self.intake.keep_aside(job_id, error)
+            self.intake.exclude_job(job_id, error)
         log.info(
             "replayed",
             extra={
@@ -234,11 +236,11 @@
         if self._group is None:
             call.close()
             return
-        self._group.create_task(self._keeper.once(_name_of(call), call))
+        self._group.create_task(self._supervisor.once(_name_of(call), call))
 
-    async def read_own(self, table: str) -> Page:
+    async def read_cell_table(self, table: str) -> Page:
         """Read one of the cell's tables, however long the store takes."""
-        return await until_read(
+        return await read_with_retry(
             lambda: self.context.store.read_all(table, self.settings.part),
             "unreadable",
             table=table,
@@ -281,26 +283,26 @@
         return await self.intake.answer(request)
 
     def _on_accepted(self, job: Job) -> None:
-        self.queue.look_soon()
-        self._want_advice(job)
-        self._note_arrival(job)
+        self.queue.run_pass_soon()
+        self._request_advice(job)
+        self._record_arrival(job)
 
-    def _note_arrival(self, job: Job) -> None:
+    def _record_arrival(self, job: Job) -> None:
         """Tell the duties that a job has come, now or under an earlier holder."""
         if self.duties is None:
             return
         work = job_work(job, self.engine.times)
         if work:
             age_s = max(0.0, time.time() - job.accepted_at_s)
-            self.duties.note_job(job.service, work, boot_s() - age_s)
+            self.duties.record_job(job.service, work, boot_s() - age_s)
 
-    def _want_advice(self, job: Job) -> None:
+    def _request_advice(self, job: Job) -> None:
         """Fetch tickets for all steps now, so that later ones do not wait."""
         if self.advice is None:
             return
         for occurrence in job.occurrences.values():
             for step in occurrence.steps:
-                self.advice.want(step)
+                self.advice.request(step)
 
     # The queue.
 
@@ -339,9 +341,9 @@
 
     # Runners.
 
-    def is_aside(self, job_id: str) -> bool:
+    def is_excluded(self, job_id: str) -> bool:
         """Whether a job is left alone since a row of it can't be read."""
-        return self.intake.is_aside(job_id)
+        return self.intake.is_excluded(job_id)
 
     def on_life_over(self, link: RunnerLink, why: str) -> None:
         """Learn that this life of the runner has ended."""
--- a/src/streamthread/holder/sizes.py
+++ b/src/streamthread/holder/sizes.py
@@ -22,11 +22,11 @@
 
 log = logbook.Logger("streamthread.duties")
 
-AHEAD_S = 1.9
+FORECAST_S = 1.9
 """Arrivals are forecast for so long: a move takes 1.5 s, and its runner is listed and
 held some tenths later."""
 
-SIZES_LOG_S = 1.0
+SIZES_LOG_INTERVAL_S = 1.0
 """The sizes are logged this often: a line a second is enough to follow a burst."""
 
 
@@ -56,16 +56,16 @@
         self._settings = settings
         self._arrivals: dict[str, PoolArrivals] = {}
         self._machine_cpu = 0
-        self._early: list[_EarlyJob] = []
+        self._early_jobs: list[_EarlyJob] = []
         self._history: dict[str, collections.deque[tuple[float, int]]] = {}
-        self.lately: dict[str, int] = {}
+        self.recent_max: dict[str, int] = {}
         self._demands: dict[str, tuple[int, int, int]] = {}
         self._began_at_s = boot_s()
         self._first_job_at_s: float | None = None
-        self._there_first: collections.Counter[str] = collections.Counter()
+        self._initial_counts: collections.Counter[str] = collections.Counter()
         self._logged_at_s = 0.0
 
-    def note_job(self, service: str, work: float, at_s: float) -> None:
+    def record_job(self, service: str, work: float, at_s: float) -> None:
         """Count a job's work among a pool's arrivals.
 
         How much work makes a burst is told by the size of machines. Until these are
@@ -75,13 +75,13 @@
         :param at_s: when it arrived, on the boot clock.
         """
         if not self._machine_cpu:
-            self._early.append(_EarlyJob(at_s, service, work))
+            self._early_jobs.append(_EarlyJob(at_s, service, work))
             return
         if self._first_job_at_s is None:
             self._first_job_at_s = at_s
         arrivals = self._arrivals.setdefault(service, PoolArrivals())
-        least_rate = self._settings.burst_machines * self._machine_cpu
-        if arrivals.add(work, at_s, least_rate) is not None:
+        min_rate = self._settings.burst_machines * self._machine_cpu
+        if arrivals.add(work, at_s, min_rate) is not None:
             cpu = round(arrivals.rate(at_s))
             log.info("burst-begins", extra={"pool": service, "cpu": cpu})
 
@@ -90,9 +90,9 @@
         self._machine_cpu = min((view.cpu for view in views), default=0)
         if not self._machine_cpu:
             return
-        early, self._early = self._early, []
+        early, self._early_jobs = self._early_jobs, []
         for job in sorted(early):
-            self.note_job(job.service, job.work, job.at_s)
+            self.record_job(job.service, job.work, job.at_s)
 
     def targets(
         self, pools: t.Iterable[Pool], views: t.Collection[MachineView]
@@ -107,27 +107,28 @@
         targets: dict[str, int] = {}
         for name in [pool.name for pool in pools if not pool.is_spare]:
             targets[name] = self._wanted(name, jobs[name], views, now_s)
-            self.lately[name] = self._highest_lately(name, targets[name], now_s)
+            self.recent_max[name] = self._recent_max(name, targets[name], now_s)
         return targets
 
-    def keeps(self, views: t.Iterable[MachineView]) -> dict[str, int]:
+    def retained_machines(self, views: t.Iterable[MachineView]) -> dict[str, int]:
         """Return how many machines each pool keeps out of the spare pool.
 
         Shortly after a start the jobs have not told yet what is needed, nor at the
         beginning of a burst: then all stay.
         """
-        there = collections.Counter(view.pool for view in views)
-        if not self._there_first:
-            self._there_first = there
+        present = collections.Counter(view.pool for view in views)
+        if not self._initial_counts:
+            self._initial_counts = present
         now_s = boot_s()
         share = self._cold_share(now_s)
-        kept = {
-            pool: math.ceil(count * share) for pool, count in self._there_first.items()
+        retained = {
+            pool: math.ceil(count * share)
+            for pool, count in self._initial_counts.items()
         }
         for pool, arrivals in self._arrivals.items():
             if arrivals.begins(now_s):
-                kept[pool] = there[pool]
-        return kept
+                retained[pool] = present[pool]
+        return retained
 
     def _cold_share(self, now_s: float) -> float:
         """Return which share of the first machines is kept: all, fewer, none."""
@@ -136,7 +137,7 @@
             return 1.0 if now_s - self._began_at_s < self._settings.cold_s else 0.0
         return max(0.0, 1 - (now_s - first_s) / self._settings.cold_leave_s)
 
-    def _highest_lately(self, pool: str, wanted: int, now_s: float) -> int:
+    def _recent_max(self, pool: str, wanted: int, now_s: float) -> int:
         """Return the highest size that was needed within the shrink time."""
         history = self._history.setdefault(pool, collections.deque())
         history.append((now_s, wanted))
@@ -155,8 +156,8 @@
         sizes = [view for view in views if view.pool == pool] or list(views)
         demand = pool_demand(jobs, self._engine.times, time.time())
         arriving_cpu = self._arriving_cpu(pool, now_s)
-        cpu = max(demand.cpu, arriving_cpu + _lasting_cpu(jobs))
-        cpu = _with_lost_room(cpu, [view for view in views if view.pool == pool])
+        cpu = max(demand.cpu, arriving_cpu + _long_running_cpu(jobs))
+        cpu = _with_lost_capacity(cpu, [view for view in views if view.pool == pool])
         wanted = target_size(
             attrs.evolve(demand, cpu=cpu),
             min(view.cpu for view in sizes),
@@ -172,12 +173,14 @@
         if arrivals is None:
             return 0.0
         arrivals.settle(now_s)
-        return arrivals.forecast(now_s, AHEAD_S)
+        return arrivals.forecast(now_s, FORECAST_S)
 
-    def tell(self, targets: dict[str, int], views: t.Collection[MachineView]) -> None:
+    def log_sizes(
+        self, targets: dict[str, int], views: t.Collection[MachineView]
+    ) -> None:
         """Log once a second how many machines each pool has and should have."""
         now_s = boot_s()
-        if now_s - self._logged_at_s < SIZES_LOG_S:
+        if now_s - self._logged_at_s < SIZES_LOG_INTERVAL_S:
             return
         self._logged_at_s = now_s
         sizes = {
@@ -192,7 +195,7 @@
         log.info("pool-sizes", extra={"sizes": sizes})
 
 
-def _with_lost_room(cpu: float, views: t.Collection[MachineView]) -> float:
+def _with_lost_capacity(cpu: float, views: t.Collection[MachineView]) -> float:
     """Return a pool's demand with what its machines lack for a while added to it.
 
     Not more than they lack, and nothing where there is no demand.
@@ -204,7 +207,7 @@
     return min(cpu * full / (full - lost), cpu + lost)
 
 
-def _lasting_cpu(jobs: t.Iterable[Job]) -> float:
+def _long_running_cpu(jobs: t.Iterable[Job]) -> float:
     """Return the thousandths of a core that lasting tasks take all the time."""
     return float(
         sum(
--- a/src/streamthread/holder/handins.py
+++ b/src/streamthread/holder/submissions.py
@@ -10,7 +10,7 @@
 from ..scheduler import Engine
 from ..scheduler import Job
 
-__all__ = ["HandIns"]
+__all__ = ["Submissions"]
 
 log = logbook.Logger("streamthread.holder")
 
@@ -23,7 +23,7 @@
 """Where commits take longer than that, so many times as long as they took lately."""
 
 
-class HandIns:
+class Submissions:
     """Takes new jobs back, while no transaction has carried them.
 
     A store that falls silent shows by its answers alone, and a caller that hands a job
@@ -38,29 +38,29 @@
         # What ends the waiting of a job's callers once it is taken back.
         self._waiting: dict[str, tuple[Job, asyncio.Future[None]]] = {}
 
-    async def until_kept(self, job: Job) -> bool:
+    async def until_durable(self, job: Job) -> bool:
         """Return whether a job is durable; False: it was taken back, and never runs.
 
         :raises NotHolderError: the cell is lost; the job may be durable.
         """
         if job.durable:
             return True
-        taken_back = self._end_of_waiting(job)
+        withdrawn = self._withdrawal_of(job)
         written = asyncio.ensure_future(self._commits.written(TABLE_JOBS, job.job_id))
         try:
             await asyncio.wait(
-                (written, taken_back), return_when=asyncio.FIRST_COMPLETED
+                (written, withdrawn), return_when=asyncio.FIRST_COMPLETED
             )
-            if taken_back.done():
+            if withdrawn.done():
                 return False
             await written
             job.durable = True
             return True
         finally:
             written.cancel()
-            self._settle(job)
+            self._forget_if_written(job)
 
-    def _end_of_waiting(self, job: Job) -> "asyncio.Future[None]":
+    def _withdrawal_of(self, job: Job) -> "asyncio.Future[None]":
         known = self._waiting.get(job.job_id)
         if known is not None and known[0] is job:
             return known[1]
@@ -68,7 +68,7 @@
         self._waiting[job.job_id] = (job, future)
         return future
 
-    def _settle(self, job: Job) -> None:
+    def _forget_if_written(self, job: Job) -> None:
         """Forget a job whose row is written, whoever waited for that."""
         known = self._waiting.get(job.job_id)
         if known is None or known[0] is not job:
@@ -76,7 +76,7 @@
         if not self._commits.is_marked(TABLE_JOBS, job.job_id):
             del self._waiting[job.job_id]
 
-    def take_back_if_overdue(self, may_accept: bool) -> int:
+    def withdraw_if_overdue(self, may_accept: bool) -> int:
         """Take back what no transaction has carried, if commits hang.
 
         :param may_accept: whether new jobs are accepted now.
@@ -84,22 +84,24 @@
         """
         # Those whose callers gave up before the row was written.
         for job, _ in list(self._waiting.values()):
-            self._settle(job)
+            self._forget_if_written(job)
         overdue_s = max(COMMIT_OVERDUE_S, OVERDUE_COMMITS * self._commits.commit_s)
         if may_accept and self._commits.tried_for_s() <= overdue_s:
             return 0
-        taken = [job_id for job_id in list(self._waiting) if self._take_back(job_id)]
-        if taken:
+        withdrawn_ids = [
+            job_id for job_id in list(self._waiting) if self._withdraw(job_id)
+        ]
+        if withdrawn_ids:
             log.warning(
                 "hand-ins-taken-back",
                 extra={
-                    "jobs": taken,
+                    "jobs": withdrawn_ids,
                     "tried_for_s": round(self._commits.tried_for_s(), 3),
                 },
             )
-        return len(taken)
+        return len(withdrawn_ids)
 
-    def _take_back(self, job_id: str) -> bool:
+    def _withdraw(self, job_id: str) -> bool:
         job, future = self._waiting[job_id]
         if job.durable or job.over or future.done():
             return False
--- a/src/streamthread/holder/tests/test_accounts.py
+++ b/src/streamthread/holder/tests/test_accounts.py
@@ -6,10 +6,10 @@
 import pytest
 
 from streamthread.cell import cell_pb2 as pb
-from streamthread.holder.admission import AdmissionDesk
+from streamthread.holder.admission import AdmissionPolicy
 from streamthread.holder.inbox import InboxEntry
-from streamthread.holder.kept_cancels import Cancel
-from streamthread.holder.kept_cancels import kept_key
+from streamthread.holder.pending_cancels import Cancel
+from streamthread.holder.pending_cancels import pending_cancel_key
 from streamthread.platform.accounts import digest_key
 from streamthread.platform.manifest import decode_manifest
 from streamthread.platform.manifest import Manifest
@@ -120,7 +120,10 @@
         assert (await cell.call(pb.SUBMIT, "ann", "a1")).state == "cancelled"
 
     def test_cancels_of_two_accounts_have_rows_of_their_own(self) -> None:
-        keys = {kept_key(Cancel(JOB_ID, "route", name)) for name in ("", "ann", "bob")}
+        keys = {
+            pending_cancel_key(Cancel(JOB_ID, "route", name))
+            for name in ("", "ann", "bob")
+        }
         assert len(keys) == 3
 
 
@@ -210,11 +213,11 @@
     def test_what_was_acknowledged_is_taken_all_the_same(self) -> None:
         cell = _Accounts(manifest(1, ann=99))
         entry = InboxEntry(JOB_ID, "route", BODY.decode(), 1, "desk", "ann")
-        assert cell.intake.accept_left(entry)
+        assert cell.intake.accept_from_inbox(entry)
         assert cell.engine.jobs[JOB_ID].account == "ann"
 
 
 def test_a_desk_without_configuration_takes_the_sender_at_its_word() -> None:
     documents: t.Any = type("Documents", (), {"manifest": None, "waves": {}})()
     request = pb.CallRequest(account="ann", key_digest=b"x", configuration_version=1)
-    assert AdmissionDesk(documents).judge(request) == "ann"
+    assert AdmissionPolicy(documents).authorize(request) == "ann"
--- a/src/streamthread/holder/tests/test_advice.py
+++ b/src/streamthread/holder/tests/test_advice.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from streamthread.errors import StoreUnavailableError
-from streamthread.holder.advice import AdviceDesk
+from streamthread.holder.advice import AdviceCache
 from streamthread.platform.advice import Advice
 from streamthread.platform.advice import Ticket
 from streamthread.platform.callers import JobRequest
@@ -37,10 +37,10 @@
     return job.begin(0).steps[0]
 
 
-def _desk(client: _Client, policy: AdvicePolicy | None = POLICY) -> AdviceDesk:
+def _cache(client: _Client, policy: AdvicePolicy | None = POLICY) -> AdviceCache:
     runner = RunnerState("i-1", "desk", "x:1", "z", ("a",), 1, 1, 0)
     other = RunnerState("i-2", "desk", "x:2", "z", ("a",), 1, 1, 0)
-    return AdviceDesk(
+    return AdviceCache(
         t.cast(t.Any, client),
         lambda route: policy,
         lambda pool: [runner, other],
@@ -48,9 +48,9 @@
     )
 
 
-async def _until_allowed(desk: AdviceDesk, step: StepRun) -> list[str]:
+async def _until_allowed(cache: AdviceCache, step: StepRun) -> list[str]:
     async with asyncio.timeout(5):
-        while not (allowed := desk.allowed(step)):
+        while not (allowed := cache.allowed(step)):
             await asyncio.sleep(0.01)
     return list(allowed)
 
@@ -58,26 +58,26 @@
 class TestRestartedRunner:
     async def test_gets_no_start_with_a_ticket_of_its_former_life(self) -> None:
         client = _Client()
-        desk, step, other = _desk(client), _step(), _step()
-        loop = asyncio.create_task(desk.run())
+        cache, step, other = _cache(client), _step(), _step()
+        loop = asyncio.create_task(cache.run())
         try:
-            assert await _until_allowed(desk, step) == ["i-1"]
-            assert await _until_allowed(desk, other) == ["i-1"]
-            desk.forget_runner("i-1")
-            assert desk.ticket(step, "i-1") == desk.ticket(other, "i-1") == ""
-            assert await _until_allowed(desk, step) == ["i-1"]
+            assert await _until_allowed(cache, step) == ["i-1"]
+            assert await _until_allowed(cache, other) == ["i-1"]
+            cache.forget_runner("i-1")
+            assert cache.ticket(step, "i-1") == cache.ticket(other, "i-1") == ""
+            assert await _until_allowed(cache, step) == ["i-1"]
             assert len(client.steps) >= 3
         finally:
             loop.cancel()
 
     async def test_leaves_steps_alone_that_have_no_ticket_for_it(self) -> None:
         client = _Client()
-        desk, step = _desk(client), _step()
-        loop = asyncio.create_task(desk.run())
+        cache, step = _cache(client), _step()
+        loop = asyncio.create_task(cache.run())
         try:
-            await _until_allowed(desk, step)
-            desk.forget_runner("i-2")
-            assert list(desk.allowed(step) or ()) == ["i-1"]
+            await _until_allowed(cache, step)
+            cache.forget_runner("i-2")
+            assert list(cache.allowed(step) or ()) == ["i-1"]
             assert len(client.steps) == 1
         finally:
             loop.cancel()
@@ -86,43 +86,43 @@
 class TestAdvice:
     async def test_is_not_asked_where_any_runner_will_do(self) -> None:
         client = _Client()
-        assert _desk(client, policy=None).allowed(_step()) is None
+        assert _cache(client, policy=None).allowed(_step()) is None
         assert client.steps == []
 
     async def test_allows_only_runners_with_tickets(self) -> None:
         client, step = _Client(), _step()
-        desk = _desk(client)
-        running = asyncio.ensure_future(desk.run())
-        assert desk.allowed(step) == ()
-        assert await _until_allowed(desk, step) == ["i-1"]
-        assert desk.ticket(step, "i-1") == "t-1"
+        cache = _cache(client)
+        running = asyncio.ensure_future(cache.run())
+        assert cache.allowed(step) == ()
+        assert await _until_allowed(cache, step) == ["i-1"]
+        assert cache.ticket(step, "i-1") == "t-1"
         assert client.steps == [f"{'a' * 16}.0.0"]
         running.cancel()
 
     async def test_is_asked_again_once_tickets_have_run_out(self) -> None:
         client, step = _Client(), _step()
-        desk = _desk(client)
-        running = asyncio.ensure_future(desk.run())
-        await _until_allowed(desk, step)
+        cache = _cache(client)
+        running = asyncio.ensure_future(cache.run())
+        await _until_allowed(cache, step)
         async with asyncio.timeout(5):
-            while desk.allowed(step):
+            while cache.allowed(step):
                 await asyncio.sleep(0.01)
-        await _until_allowed(desk, step)
+        await _until_allowed(cache, step)
         assert len(client.steps) == 2
         running.cancel()
 
     async def test_is_asked_again_after_a_refusal(self) -> None:
         client, step = _Client(failures=2), _step()
-        desk = _desk(client)
-        running = asyncio.ensure_future(desk.run())
-        assert await _until_allowed(desk, step) == ["i-1"]
+        cache = _cache(client)
+        running = asyncio.ensure_future(cache.run())
+        assert await _until_allowed(cache, step) == ["i-1"]
         running.cancel()
 
     async def test_a_ticket_that_was_turned_away_is_not_used_again(self) -> None:
         client, step = _Client(), _step()
-        desk = _desk(client)
-        running = asyncio.ensure_future(desk.run())
-        await _until_allowed(desk, step)
-        desk.reject(step, "i-1")
-        assert desk.ticket(step, "i-1") == ""
+        cache = _cache(client)
+        running = asyncio.ensure_future(cache.run())
+        await _until_allowed(cache, step)
+        cache.reject(step, "i-1")
+        assert cache.ticket(step, "i-1") == ""
         running.cancel()
--- a/src/streamthread/holder/tests/test_advice_after_change.py
+++ b/src/streamthread/holder/tests/test_advice_after_change.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from streamthread.holder.advice import AdviceDesk
+from streamthread.holder.advice import AdviceCache
 from streamthread.platform.manifest import AdvicePolicy
 
+from .test_advice import _cache
 from .test_advice import _Client
-from .test_advice import _desk
 from .test_advice import _step
 from .test_advice import _until_allowed
 from .test_advice import POLICY
@@ -17,14 +17,14 @@
         """The route was away, or without a policy, when its turn came."""
         client, step = _Client(), _step()
         policies: list[AdvicePolicy | None] = [POLICY]
-        desk: AdviceDesk = _desk(client)
-        desk._policy = lambda route: policies[-1]
-        desk.want(step)
+        cache: AdviceCache = _cache(client)
+        cache._policy = lambda route: policies[-1]
+        cache.request(step)
         policies.append(None)
-        running = asyncio.ensure_future(desk.run())
+        running = asyncio.ensure_future(cache.run())
         async with asyncio.timeout(5):
-            while desk._wanted:
+            while cache._queue:
                 await asyncio.sleep(0)
         policies.append(POLICY)
-        assert await _until_allowed(desk, step) == ["i-1"]
+        assert await _until_allowed(cache, step) == ["i-1"]
         running.cancel()
--- a/src/streamthread/holder/tests/test_durable_ends.py
+++ b/src/streamthread/holder/tests/test_durable_ends.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from streamthread.cell import cell_pb2 as pb
-from streamthread.holder.handins import HandIns
+from streamthread.holder.submissions import Submissions
 
 from .test_intake import _Commits
 from .test_intake import Cell
@@ -32,7 +32,7 @@
         cell = Cell()
         commits = _ExactCommits()
         cell.commits = cell.intake._commits = commits
-        cell.intake._hand_ins = HandIns(cell.engine, t.cast(t.Any, commits))
+        cell.intake._submissions = Submissions(cell.engine, t.cast(t.Any, commits))
         job = cell.add_job()
         job.durable = False
         commits.mark("cell-jobs", JOB_ID, None)
--- a/src/streamthread/holder/tests/test_duties.py
+++ b/src/streamthread/holder/tests/test_duties.py
@@ -2,16 +2,18 @@
 
 import math
 
-from streamthread.holder.duties import ORDER_FLIGHT_S
-from streamthread.holder.duties import quiet_time_s
+from streamthread.holder.duties import in_flight_wait_s
+from streamthread.holder.duties import MAX_ORDER_LATENCY_S
 
 
 class TestQuietTime:
     def test_outlasts_the_last_order_of_an_earlier_holder(self) -> None:
-        assert quiet_time_s(alone_at_s=12.0, now_s=11.0) == 1.0 + ORDER_FLIGHT_S
+        assert (
+            in_flight_wait_s(alone_at_s=12.0, now_s=11.0) == 1.0 + MAX_ORDER_LATENCY_S
+        )
 
     def test_is_over_once_that_order_has_arrived(self) -> None:
-        assert quiet_time_s(alone_at_s=10.0, now_s=11.0) == 0.0
+        assert in_flight_wait_s(alone_at_s=10.0, now_s=11.0) == 0.0
 
     def test_is_none_where_nobody_held_the_cell(self) -> None:
-        assert quiet_time_s(alone_at_s=-math.inf, now_s=11.0) == 0.0
+        assert in_flight_wait_s(alone_at_s=-math.inf, now_s=11.0) == 0.0
--- a/src/streamthread/holder/tests/test_housekeeping.py
+++ b/src/streamthread/holder/tests/test_housekeeping.py
@@ -39,7 +39,7 @@
     async def test_are_dropped_once_they_have_surely_lapsed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(module, "FORGET_EVERY_S", 3600.0)
+        monkeypatch.setattr(module, "FORGET_INTERVAL_S", 3600.0)
         engine = _Engine()
         last_hold_at_s = boot_s()
         housekeeping = Housekeeping(
--- a/src/streamthread/holder/tests/test_inbox.py
+++ b/src/streamthread/holder/tests/test_inbox.py
@@ -10,7 +10,7 @@
 from streamthread.holder.inbox import InboxEntry
 from streamthread.holder.inbox import InboxOwner
 from streamthread.holder.inbox import InboxReader
-from streamthread.holder.kept_cancels import Cancel
+from streamthread.holder.pending_cancels import Cancel
 from streamthread.platform.store import Page
 from streamthread.platform.store import StoredRow
 from streamthread.platform.table_feed import TableFeed
@@ -46,36 +46,36 @@
 
     def __init__(self) -> None:
         self.knows_route = True
-        self.keeps = True
-        self.asked: list[bool] = []
+        self.retains = True
+        self.may_arrive_calls: list[bool] = []
         self.jobs: set[str] = set()
         self.cancelled: list[str] = []
         self.dropped: list[str] = []
-        self.kept_known: list[str] = []
-        self.aside: list[str] = []
+        self.acknowledged: list[str] = []
+        self.excluded: list[str] = []
 
     def knows_job(self, job_id: str) -> bool:
         return job_id in self.jobs
 
-    def keep_known(self, job_id: str) -> None:
-        self.kept_known.append(job_id)
+    def mark_acknowledged(self, job_id: str) -> None:
+        self.acknowledged.append(job_id)
 
-    def accept_left(self, entry: InboxEntry) -> bool:
+    def accept_from_inbox(self, entry: InboxEntry) -> bool:
         if self.knows_route:
             self.jobs.add(entry.job_id)
         return self.knows_route
 
-    def cancel_left(self, cancel: Cancel) -> None:
+    def cancel_from_inbox(self, cancel: Cancel) -> None:
         self.cancelled.append(cancel.job_id)
 
-    def keep_cancel(self, cancel: Cancel, may_come: bool) -> bool:
-        self.asked.append(may_come)
-        return self.keeps
+    def retain_cancel(self, cancel: Cancel, may_arrive: bool) -> bool:
+        self.may_arrive_calls.append(may_arrive)
+        return self.retains
 
-    def keep_aside(self, job_id: str, error: BadInputError) -> None:
-        self.aside.append(job_id)
+    def exclude_job(self, job_id: str, error: BadInputError) -> None:
+        self.excluded.append(job_id)
 
-    def drop_left(self, key: str) -> None:
+    def delete_row(self, key: str) -> None:
         self.dropped.append(key)
 
 
@@ -156,7 +156,7 @@
         reader, owner = _reader(_Store())
         reader.take([_row("cancel", 1)])
         assert owner.dropped == []
-        owner.keeps = False
+        owner.retains = False
         reader.retry()
         assert owner.dropped == ["cancel"]
         assert not reader.waiting
@@ -167,4 +167,4 @@
         owner.knows_route = False
         reader.take([_row("job", 2, "body")])
         reader.retry()
-        assert owner.asked == [False, True]
+        assert owner.may_arrive_calls == [False, True]
--- a/src/streamthread/holder/tests/test_intake.py
+++ b/src/streamthread/holder/tests/test_intake.py
@@ -11,11 +11,11 @@
 from streamthread.cell import TABLE_INBOX
 from streamthread.errors import NotHolderError
 from streamthread.errors import StoreUnavailableError
-from streamthread.holder.admission import AdmissionDesk
+from streamthread.holder.admission import AdmissionPolicy
 from streamthread.holder.inbox import InboxEntry
 from streamthread.holder.inbox import InboxReader
 from streamthread.holder.intake import Intake
-from streamthread.holder.kept_cancels import Cancel
+from streamthread.holder.pending_cancels import Cancel
 from streamthread.platform.manifest import Manifest
 from streamthread.platform.manifest import Route
 from streamthread.platform.store import StoredRow
@@ -27,7 +27,7 @@
 JOB_ID = "a" * 16
 BODY = b'{"spec":"","steps":[{"count":1,"cpu":100}]}'
 CANCEL = Cancel(JOB_ID, "route")
-KEEP_S = 60.0
+RETAIN_S = 60.0
 ROUTE = Route(name="route", host="host", path_prefix="/", service="desk")
 OTHER = Route(name="other", host="host", path_prefix="/other/", service="desk")
 
@@ -77,15 +77,15 @@
     def __init__(self) -> None:
         self.behind = False
         self.down = False
-        self.looks = 0
+        self.reads = 0
         self.waiting: set[str] = set()
 
     async def catch_up(self) -> None:
-        self.looks += 1
+        self.reads += 1
         if self.down:
             raise StoreUnavailableError("down", remedy="-")
 
-    def waits(self, job_id: str, account: str) -> bool:
+    def has_waiting_job(self, job_id: str, account: str) -> bool:
         return job_id in self.waiting
 
 
@@ -103,14 +103,14 @@
         args: t.Any = (
             self.engine,
             self.commits,
-            AdmissionDesk(self.documents),
+            AdmissionPolicy(self.documents),
             1,
             lambda: self.inbox,
             lambda: self.trusted,
             lambda: True,
             self.started.append,
             lambda: None,
-            KEEP_S,
+            RETAIN_S,
         )
         self.intake = Intake(*args)
 
@@ -182,7 +182,7 @@
         cell = Cell()
         cell.add_job()
         assert (await cell.ask(pb.STATE)).state == "pending"
-        assert not cell.commits.confirmations and not cell.inbox.looks
+        assert not cell.commits.confirmations and not cell.inbox.reads
 
     async def test_tells_an_end_once_it_is_durable(self) -> None:
         """Also an end that comes while the answer waits for a commit."""
@@ -229,7 +229,7 @@
         cell = Cell()
         cell.commits.may_commit.set()
         assert (await cell.ask(pb.SUBMIT)).outcome == pb.OK
-        assert not cell.inbox.looks
+        assert not cell.inbox.reads
 
     async def test_is_refused_while_its_cancel_may_wait_unread(self) -> None:
         cell = Cell()
@@ -265,14 +265,14 @@
         assert (await cell.ask(pb.CANCEL)).state == "cancelled"
         assert (await cell.ask(pb.STATE)).state == "cancelled"
 
-    @pytest.mark.parametrize("may_come", [False, True])
+    @pytest.mark.parametrize("may_arrive", [False, True])
     async def test_is_kept_past_its_time_only_while_its_job_waits(
-        self, may_come: bool
+        self, may_arrive: bool
     ) -> None:
         cell = Cell()
-        assert cell.intake.keep_cancel(CANCEL, may_come=False)
-        cell.intake._kept._since_s[CANCEL] -= KEEP_S
-        assert cell.intake.keep_cancel(CANCEL, may_come) is may_come
+        assert cell.intake.retain_cancel(CANCEL, may_arrive=False)
+        cell.intake._pending_cancels._since_s[CANCEL] -= RETAIN_S
+        assert cell.intake.retain_cancel(CANCEL, may_arrive) is may_arrive
 
 
 class TestJobThatAnotherDaemonAccepted:
--- a/src/streamthread/holder/tests/test_trust.py
+++ b/src/streamthread/holder/tests/test_lease_validity.py
@@ -6,12 +6,12 @@
 from streamthread.cell import LeaseTimes
 from streamthread.clocks import boot_s
 from streamthread.holder.lease_validity import LeaseValidity
-from streamthread.holder.lease_validity import RELEASE_S
+from streamthread.holder.lease_validity import RELEASE_TIMEOUT_S
 
 HEAD_VERSION = 17
 
 
-def _trust(confirmed_s_ago: float) -> LeaseValidity:
+def _lease(confirmed_s_ago: float) -> LeaseValidity:
     confirmed_at_s = boot_s() - confirmed_s_ago
     log = CommitLog(t.cast(t.Any, None), "main", 1, HEAD_VERSION, confirmed_at_s, 0.4)
     return LeaseValidity(log, LeaseTimes(), most_hold_s=6.0)
@@ -19,32 +19,32 @@
 
 class TestTrust:
     async def test_lasts_a_while_after_a_commit(self) -> None:
-        assert _trust(0.0).trusted
-        assert not _trust(LeaseTimes().trust_s).trusted
+        assert _lease(0.0).trusted
+        assert not _lease(LeaseTimes().trust_s).trusted
 
     async def test_is_needed_to_accept_and_to_extend(self) -> None:
-        fresh, stale = _trust(0.0), _trust(2.0)
+        fresh, stale = _lease(0.0), _lease(2.0)
         assert fresh.may_accept() and fresh.may_extend_s(3.0) == 3.0
         assert not stale.may_accept() and stale.may_extend_s(3.0) == 0.0
 
     async def test_slow_commits_are_no_reason_to_refuse_jobs(self) -> None:
-        trust = _trust(0.0)
-        trust._log.trying_since_s = boot_s() - 0.5
-        assert trust.may_accept()
-        assert trust.may_extend_s(3.0) == 6.0
-        trust._log.failing_since_s = boot_s()
-        assert not trust.may_accept()
+        lease = _lease(0.0)
+        lease._log.trying_since_s = boot_s() - 0.5
+        assert lease.may_accept()
+        assert lease.may_extend_s(3.0) == 6.0
+        lease._log.failing_since_s = boot_s()
+        assert not lease.may_accept()
 
 
 class TestStandstill:
     async def test_is_told_by_a_holder_that_orders_nothing(self) -> None:
-        assert _trust(2.0).idle_head_version == HEAD_VERSION
+        assert _lease(2.0).idle_head_version == HEAD_VERSION
 
     async def test_is_not_told_while_runs_may_be_extended(self) -> None:
         """A release that is not taken makes it doubtful, but it goes on holding."""
-        trust = _trust(0.0)
-        trust.begin_release()
-        trust._release_began_at_s -= 2 * RELEASE_S
-        assert trust.doubtful
-        assert trust.may_extend_s(3.0) > 0
-        assert trust.idle_head_version == 0
+        lease = _lease(0.0)
+        lease.begin_release()
+        lease._release_began_at_s -= 2 * RELEASE_TIMEOUT_S
+        assert lease.doubtful
+        assert lease.may_extend_s(3.0) > 0
+        assert lease.idle_head_version == 0
--- a/src/streamthread/holder/tests/test_listing.py
+++ b/src/streamthread/holder/tests/test_listing.py
@@ -48,7 +48,7 @@
         self.silent = False
 
 
-class _Desk:
+class _Handler:
     """Notes the runners that it is given, and the lives that follow one."""
 
     def __init__(self, links: dict[str, _Link]) -> None:
@@ -110,21 +110,21 @@
 async def _following(
     links: dict[str, _Link],
     documents: "_Documents | None" = None,
-    desk: "_Desk | None" = None,
+    handler: "_Handler | None" = None,
 ) -> t.AsyncIterator[tuple[_Store, list[str]]]:
     store = _Store()
-    desk = desk or _Desk(links)
+    handler = handler or _Handler(links)
     following = RunnerListing(
         t.cast(t.Any, store),
         t.cast(t.Any, links),
         documents or _Documents(),
         0.0,
-        t.cast(t.Any, desk),
+        t.cast(t.Any, handler),
         UnreadableNotes(),
     )
     task = asyncio.create_task(following.run())
     try:
-        yield store, desk.added
+        yield store, handler.added
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -133,24 +133,24 @@
 class TestRestartedRunners:
     async def test_are_told_apart_by_when_their_lives_began(self) -> None:
         links: dict[str, _Link] = {}
-        desk = _Desk(links)
-        async with _following(links, desk=desk) as (store, added):
+        handler = _Handler(links)
+        async with _following(links, handler=handler) as (store, added):
             rows = [_row("i-1", born=born, sequence=n) for n, born in enumerate([5, 5])]
             store.answers.put_nowait(Page((rows[0],), 1))
             store.answers.put_nowait(Page((rows[1],), 2))
             store.answers.put_nowait(Page((_row("i-1", born=9),), 3))
-            await _until(lambda: bool(desk.restarted))
-            assert desk.restarted == [9]
+            await _until(lambda: bool(handler.restarted))
+            assert handler.restarted == [9]
             assert added == ["i-1"]
 
     async def test_are_not_described_by_an_entry_of_their_former_lives(self) -> None:
         """The next life may answer a call before its own entry is read."""
         links: dict[str, _Link] = {}
-        desk = _Desk(links)
-        async with _following(links, desk=desk) as (store, _):
+        handler = _Handler(links)
+        async with _following(links, handler=handler) as (store, _):
             store.answers.put_nowait(Page((_row("i-1", born=5),), 1))
             await _until(lambda: "i-1" in links)
-            desk.restart_runner(
+            handler.restart_runner(
                 links["i-1"],
                 decode_runner_entry("i-1", _row("i-1", born=9).value or b""),
             )
@@ -158,19 +158,19 @@
             store.answers.put_nowait(Page((_row("i-1", born=5, state="draining"),), 2))
             store.answers.put_nowait(Page((_row("i-2"),), 3))
             await _until(lambda: "i-2" in links)
-            assert desk.restarted == [9]
+            assert handler.restarted == [9]
             assert not links["i-1"].listed
             assert not links["i-1"].runner.draining
 
     async def test_that_never_tell_their_birth_are_one_life(self) -> None:
         links: dict[str, _Link] = {}
-        desk = _Desk(links)
-        async with _following(links, desk=desk) as (store, _):
+        handler = _Handler(links)
+        async with _following(links, handler=handler) as (store, _):
             store.answers.put_nowait(Page((_row("i-1"),), 1))
             store.answers.put_nowait(Page((_row("i-1", sequence=1, born=None),), 2))
             store.answers.put_nowait(Page((_row("i-2"),), 3))
             await _until(lambda: "i-2" in links)
-            assert desk.restarted == []
+            assert handler.restarted == []
 
 
 class TestEntries:
@@ -276,22 +276,24 @@
 
     async def test_are_told_once_for_as_long_as_they_stay(self) -> None:
         notes = UnreadableNotes()
-        with logbook.TestHandler() as told:
+        with logbook.TestHandler() as captured:
             for _ in range(3):
                 with pytest.raises(UnreadableError) as raised:
                     decode_runner_entry("i-1", b"{}")
                 notes.note(Source.RUNNER_ENTRY, raised.value)
-        lines = [record for record in told.records if record.message == "unreadable"]
+        lines = [
+            record for record in captured.records if record.message == "unreadable"
+        ]
         assert len(lines) == 1
         assert lines[0].extra["key"] == "i-1"
         assert notes.counts["runner-entry"] == 3
 
     async def test_fill_the_log_only_so_far(self) -> None:
         notes = UnreadableNotes()
-        with logbook.TestHandler() as told:
+        with logbook.TestHandler() as captured:
             for number in range(1000):
                 error = UnreadableError("odd", remedy="-", key=f"i-{number}")
                 notes.note(Source.RUNNER_ENTRY, error)
-        assert len(told.records) == unreadable.LINES_PER_PERIOD
+        assert len(captured.records) == unreadable.LINES_PER_PERIOD
         assert len(notes.describe()) == unreadable.MOST_KEPT
         assert notes.counts["runner-entry"] == 1000
--- a/src/streamthread/holder/tests/test_turns.py
+++ b/src/streamthread/holder/tests/test_rotating_demand.py
@@ -28,7 +28,7 @@
 SETTINGS = CapacitySettings()
 POOLS = ("one", "two", "three")
 CPU = 16_000
-EACH = 6
+MACHINES_PER_POOL = 6
 """Machines of each pool; as many are spare."""
 
 MEAN_MACHINES = 2.0
@@ -40,7 +40,7 @@
 TURN_S = 6.0
 GROWN_S = 2.5
 SETTLED_S = 4.0
-MOST_MOVES = 2.5
+MAX_MOVES_FACTOR = 2.5
 """Times the machines that a turn needs; 2.1 in the worst of these seeds."""
 
 IN_TURN = 5.0
@@ -70,7 +70,7 @@
         self.machines = [
             _Machine(f"m-{pool}-{number}", pool)
             for pool in (*POOLS, "spare")
-            for number in range(EACH)
+            for number in range(MACHINES_PER_POOL)
         ]
 
     def time(self) -> float:
@@ -92,15 +92,17 @@
     def _arrive(self, pool: str, jobs_per_s: float) -> None:
         at_s = self.now_s - STEP_S
         while (at_s := at_s + self.random.expovariate(jobs_per_s)) < self.now_s:
-            self.sizes.note_job(pool, JOB_WORK, at_s)
+            self.sizes.record_job(pool, JOB_WORK, at_s)
 
     def _decide(self, in_turn: str) -> None:
-        views = [self._view(machine) for machine in self._by_use(in_turn)]
+        views = [self._view(machine) for machine in self._mark_busy(in_turn)]
         pools = [Pool(name) for name in POOLS]
         targets = self.sizes.targets(pools, views)
-        keeps = self.sizes.keeps(views)
-        kept = {n: max(keeps.get(n, 0), self.sizes.lately[n]) for n in POOLS}
-        wanted = [PoolView(n, False, targets[n], kept[n]) for n in POOLS]
+        retained_machines = self.sizes.retained_machines(views)
+        retained = {
+            n: max(retained_machines.get(n, 0), self.sizes.recent_max[n]) for n in POOLS
+        }
+        wanted = [PoolView(n, False, targets[n], retained[n]) for n in POOLS]
         wanted.append(PoolView("spare", True))
         by_id = {machine.machine_id: machine for machine in self.machines}
         for move in plan_moves(wanted, views, SETTINGS):
@@ -109,7 +111,7 @@
             machine.ready_at_s = self.now_s + MOVE_S
             self.moves += move.target != "spare"
 
-    def _by_use(self, in_turn: str) -> list[_Machine]:
+    def _mark_busy(self, in_turn: str) -> list[_Machine]:
         """Note which machines are at work: as many as a pool's demand keeps busy."""
         busy = {pool: math.ceil(MEAN_MACHINES * OUT_OF_TURN) for pool in POOLS}
         busy[in_turn] = math.ceil(MEAN_MACHINES * IN_TURN)
@@ -148,7 +150,7 @@
             fleet.play(SETTLED_S - GROWN_S, pool)
             assert fleet.ready(pool) >= 0.8 * needed
             others = [fleet.ready(other) for other in POOLS if other != pool]
-            assert max(others) <= EACH
+            assert max(others) <= MACHINES_PER_POOL
             fleet.play(TURN_S - SETTLED_S, pool)
             turns += 1
-    assert fleet.moves <= MOST_MOVES * turns * needed
+    assert fleet.moves <= MAX_MOVES_FACTOR * turns * needed
--- a/src/streamthread/holder/tests/test_runner_desk.py
+++ b/src/streamthread/holder/tests/test_runner_manager.py
@@ -7,7 +7,7 @@
 
 from streamthread.clocks import boot_s
 from streamthread.clocks import SLOWEST_CLOCK
-from streamthread.holder.runner_desk import RunnerDesk
+from streamthread.holder.runner_manager import RunnerManager
 from streamthread.platform.documents import RunnerEntry
 from streamthread.runners import LinkSettings
 from streamthread.runners import RunnerLink
@@ -54,16 +54,18 @@
 
 
 @pytest.fixture
-def desk(owner: _Owner) -> RunnerDesk:
-    desk = RunnerDesk(t.cast(t.Any, owner))
-    desk.add_runner(_entry(cpu=1_000, born_ms=BORN_MS))
-    return desk
+def manager(owner: _Owner) -> RunnerManager:
+    manager = RunnerManager(t.cast(t.Any, owner))
+    manager.add_runner(_entry(cpu=1_000, born_ms=BORN_MS))
+    return manager
 
 
 class TestRestartedRunner:
-    def test_begins_anew_with_its_entry(self, owner: _Owner, desk: RunnerDesk) -> None:
+    def test_begins_anew_with_its_entry(
+        self, owner: _Owner, manager: RunnerManager
+    ) -> None:
         before = owner.links["i-1"]
-        desk.restart_runner(before, _entry(cpu=500, born_ms=BORN_MS + 1))
+        manager.restart_runner(before, _entry(cpu=500, born_ms=BORN_MS + 1))
         after = owner.links["i-1"]
         assert before.over and after is not before
         assert after.listed
@@ -72,17 +74,17 @@
         assert owner.without_tickets == ["i-1"]
 
     def test_gets_nothing_before_its_entry_is_known(
-        self, owner: _Owner, desk: RunnerDesk
+        self, owner: _Owner, manager: RunnerManager
     ) -> None:
-        desk.on_restarted(owner.links["i-1"], BORN_MS + 1)
+        manager.on_restarted(owner.links["i-1"], BORN_MS + 1)
         assert not owner.links["i-1"].listed
         assert not owner.links["i-1"].runner.usable()
 
     def test_may_be_held_by_the_former_clock_for_as_long_as_it_lets_itself(
-        self, owner: _Owner, desk: RunnerDesk
+        self, owner: _Owner, manager: RunnerManager
     ) -> None:
         now_s = boot_s()
-        desk.on_restarted(owner.links["i-1"], BORN_MS + 1)
+        manager.on_restarted(owner.links["i-1"], BORN_MS + 1)
         link = owner.links["i-1"]
-        lapsed_at_s = link._last_hold_at_s + LINKS.lapse_bound_s
-        assert lapsed_at_s >= now_s + LINKS.cut_hold_s / SLOWEST_CLOCK
+        expired_at_s = link._last_hold_at_s + LINKS.lapse_bound_s
+        assert expired_at_s >= now_s + LINKS.cut_hold_s / SLOWEST_CLOCK
--- a/src/streamthread/holder/tests/test_sizes.py
+++ b/src/streamthread/holder/tests/test_sizes.py
@@ -46,36 +46,36 @@
     def test_keeps_all_machines_before_the_first_job(self, clock: _Clock) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         clock.now_s += SETTINGS.cold_s - 1
-        assert pool_sizes.keeps(VIEWS) == {"one": 8, "two": 8}
+        assert pool_sizes.retained_machines(VIEWS) == {"one": 8, "two": 8}
 
     def test_lets_them_go_one_after_the_other(self, clock: _Clock) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         pool_sizes.targets(POOLS, VIEWS)
-        pool_sizes.keeps(VIEWS)
-        pool_sizes.note_job("one", 50_000.0, clock.now_s)
-        kept = []
+        pool_sizes.retained_machines(VIEWS)
+        pool_sizes.record_job("one", 50_000.0, clock.now_s)
+        retained = []
         for _ in range(5):
-            kept.append(pool_sizes.keeps(VIEWS[:10])["one"])
+            retained.append(pool_sizes.retained_machines(VIEWS[:10])["one"])
             clock.now_s += SETTINGS.cold_leave_s / 4
-        assert kept == [8, 6, 4, 2, 0]
+        assert retained == [8, 6, 4, 2, 0]
 
     def test_keeps_all_machines_of_a_pool_whose_burst_begins(
         self, clock: _Clock
     ) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         pool_sizes.targets(POOLS, VIEWS)
-        pool_sizes.keeps(VIEWS)
+        pool_sizes.retained_machines(VIEWS)
         for _ in range(10):
             clock.now_s += 0.1
-            pool_sizes.note_job("one", 8_000.0, clock.now_s)
-        kept = pool_sizes.keeps(VIEWS)
-        assert kept["one"] == 8
-        assert kept["two"] < 8
+            pool_sizes.record_job("one", 8_000.0, clock.now_s)
+        retained = pool_sizes.retained_machines(VIEWS)
+        assert retained["one"] == 8
+        assert retained["two"] < 8
 
     def test_does_not_wait_for_a_first_job_for_ever(self, clock: _Clock) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         clock.now_s += SETTINGS.cold_s + 1
-        assert pool_sizes.keeps(VIEWS) == {"one": 0, "two": 0}
+        assert pool_sizes.retained_machines(VIEWS) == {"one": 0, "two": 0}
 
 
 class TestRoomThatShrinks:
@@ -91,7 +91,7 @@
             for view in VIEWS
         ]
         pool_sizes.targets(POOLS, views)
-        pool_sizes.note_job("one", 16_000.0 * 3.0, clock.now_s)
+        pool_sizes.record_job("one", 16_000.0 * 3.0, clock.now_s)
         clock.now_s += 0.1
         targets = pool_sizes.targets(POOLS, views)
         assert targets["one"] == machines
--- a/src/streamthread/holder/tests/test_handins.py
+++ b/src/streamthread/holder/tests/test_submissions.py
@@ -7,8 +7,8 @@
 
 from streamthread.cell import TABLE_JOBS
 from streamthread.cell import TABLE_RUNS
-from streamthread.holder.handins import COMMIT_OVERDUE_S
-from streamthread.holder.handins import HandIns
+from streamthread.holder.submissions import COMMIT_OVERDUE_S
+from streamthread.holder.submissions import Submissions
 from streamthread.platform.manifest import Route
 from streamthread.scheduler import Engine
 from streamthread.scheduler import Job
@@ -45,22 +45,22 @@
         await self.done.wait()
 
 
-class _Desk:
+class _Fixture:
     def __init__(self) -> None:
         self.commits = _Commits()
         self.engine = Engine(lambda job: None)
-        self.hand_ins = HandIns(self.engine, t.cast(t.Any, self.commits))
+        self.submissions = Submissions(self.engine, t.cast(t.Any, self.commits))
         self.job = new_job("a", ROUTE, BODY)
         self.engine.add(self.job)
 
     async def wait(self) -> "asyncio.Task[bool]":
-        waiting = asyncio.create_task(self.hand_ins.until_kept(self.job))
+        waiting = asyncio.create_task(self.submissions.until_durable(self.job))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return waiting
 
 
-def _room(job: Job) -> RunnerState:
+def _runner(job: Job) -> RunnerState:
     runner = RunnerState("i-1", "desk", "127.0.0.1:1", "", (), 1000, 1000, 0)
     runner.ready = True
     return runner
@@ -68,42 +68,44 @@
 
 class TestTakenBack:
     async def test_once_a_commit_is_overdue(self) -> None:
-        desk = _Desk()
-        first, second = await desk.wait(), await desk.wait()
-        desk.commits.tried_s = COMMIT_OVERDUE_S + 0.01
-        assert desk.hand_ins.take_back_if_overdue(may_accept=True) == 1
+        fixture = _Fixture()
+        first, second = await fixture.wait(), await fixture.wait()
+        fixture.commits.tried_s = COMMIT_OVERDUE_S + 0.01
+        assert fixture.submissions.withdraw_if_overdue(may_accept=True) == 1
         assert not await first
         assert not await second
-        assert desk.engine.jobs == {}
-        assert desk.commits.dirty == set()
+        assert fixture.engine.jobs == {}
+        assert fixture.commits.dirty == set()
 
     async def test_at_once_where_no_more_are_accepted(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        assert desk.hand_ins.take_back_if_overdue(may_accept=False) == 1
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        assert fixture.submissions.withdraw_if_overdue(may_accept=False) == 1
         assert not await waiting
 
     async def test_gives_the_room_of_unsent_starts_back(self) -> None:
-        desk = _Desk()
-        runner = _room(desk.job)
-        desk.engine.add_runner(runner)
-        desk.engine.begin_due(desk.job.accepted_at_s)
-        (attempt,) = desk.engine.place_all(desk.job.accepted_at_s, lambda step: None)
-        waiting = await desk.wait()
-        desk.hand_ins.take_back_if_overdue(may_accept=False)
+        fixture = _Fixture()
+        runner = _runner(fixture.job)
+        fixture.engine.add_runner(runner)
+        fixture.engine.begin_due(fixture.job.accepted_at_s)
+        (attempt,) = fixture.engine.place_all(
+            fixture.job.accepted_at_s, lambda step: None
+        )
+        waiting = await fixture.wait()
+        fixture.submissions.withdraw_if_overdue(may_accept=False)
         assert not await waiting
         assert runner.idle
         assert attempt not in attempt.task.attempts
 
     async def test_leaves_nothing_that_stops_the_same_job_later(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        desk.hand_ins.take_back_if_overdue(may_accept=False)
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        fixture.submissions.withdraw_if_overdue(may_accept=False)
         assert not await waiting
-        desk.job = new_job("a", ROUTE, BODY)
-        desk.engine.add(desk.job)
-        again = await desk.wait()
-        desk.commits.done.set()
+        fixture.job = new_job("a", ROUTE, BODY)
+        fixture.engine.add(fixture.job)
+        again = await fixture.wait()
+        fixture.commits.done.set()
         assert await again
 
 
@@ -111,58 +113,58 @@
     """Another daemon had no answer in time, left the job there and accepted it."""
 
     async def test_is_not_taken_back(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        desk.job.left_in_inbox = True
-        assert desk.hand_ins.take_back_if_overdue(may_accept=False) == 0
-        desk.commits.done.set()
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        fixture.job.left_in_inbox = True
+        assert fixture.submissions.withdraw_if_overdue(may_accept=False) == 0
+        fixture.commits.done.set()
         assert await waiting
 
 
 class TestNoMoreWaitedFor:
     async def test_is_a_job_that_is_durable(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        desk.commits.dirty.clear()
-        desk.commits.done.set()
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        fixture.commits.dirty.clear()
+        fixture.commits.done.set()
         assert await waiting
-        assert desk.hand_ins._waiting == {}
+        assert fixture.submissions._waiting == {}
 
     async def test_is_a_job_whose_callers_gave_up(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
+        fixture = _Fixture()
+        waiting = await fixture.wait()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert len(desk.hand_ins._waiting) == 1
-        desk.commits.dirty.clear()
-        desk.hand_ins.take_back_if_overdue(may_accept=True)
-        assert desk.hand_ins._waiting == {}
+        assert len(fixture.submissions._waiting) == 1
+        fixture.commits.dirty.clear()
+        fixture.submissions.withdraw_if_overdue(may_accept=True)
+        assert fixture.submissions._waiting == {}
 
 
 class TestKept:
     @pytest.mark.parametrize("tried_s", [0.0, COMMIT_OVERDUE_S])
     async def test_while_commits_are_only_slow(self, tried_s: float) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        desk.commits.tried_s = tried_s
-        assert desk.hand_ins.take_back_if_overdue(may_accept=True) == 0
-        desk.commits.done.set()
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        fixture.commits.tried_s = tried_s
+        assert fixture.submissions.withdraw_if_overdue(may_accept=True) == 0
+        fixture.commits.done.set()
         assert await waiting
-        assert desk.job.durable
+        assert fixture.job.durable
 
     async def test_where_a_transaction_may_have_carried_it(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        desk.commits.in_flight = True
-        assert desk.hand_ins.take_back_if_overdue(may_accept=False) == 0
-        desk.commits.done.set()
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        fixture.commits.in_flight = True
+        assert fixture.submissions.withdraw_if_overdue(may_accept=False) == 0
+        fixture.commits.done.set()
         assert await waiting
-        assert "a" in desk.engine.jobs
+        assert "a" in fixture.engine.jobs
 
     async def test_where_it_was_cancelled_meanwhile(self) -> None:
-        desk = _Desk()
-        waiting = await desk.wait()
-        desk.engine.cancel(desk.job)
-        assert desk.hand_ins.take_back_if_overdue(may_accept=False) == 0
-        desk.commits.done.set()
+        fixture = _Fixture()
+        waiting = await fixture.wait()
+        fixture.engine.cancel(fixture.job)
+        assert fixture.submissions.withdraw_if_overdue(may_accept=False) == 0
+        fixture.commits.done.set()
         assert await waiting
--- a/src/streamthread/holder/tests/test_wave_states.py
+++ b/src/streamthread/holder/tests/test_wave_states.py
@@ -8,7 +8,7 @@
 import typing as t
 
 from streamthread.errors import StoreUnavailableError
-from streamthread.holder.waves import WaveBook
+from streamthread.holder.waves import WaveRegistry
 from streamthread.platform.store import Page
 from streamthread.platform.store import StoredRow
 
@@ -29,7 +29,7 @@
     def mark(self, table: str, key: str, encode: t.Callable[[], bytes]) -> None:
         self.rows[key] = encode()
 
-    async def read_own(self, table: str) -> Page:
+    async def read_cell_table(self, table: str) -> Page:
         rows = [StoredRow(table, "", key, row, 1) for key, row in self.rows.items()]
         return Page(tuple(rows), 1)
 
@@ -54,14 +54,14 @@
     async def test_is_written_by_the_next_holder(self) -> None:
         rows: dict[str, bytes] = {}
         first = _Owner(rows, down=True)
-        book = WaveBook(t.cast(t.Any, first), retry_s=0.01)
-        book.tell(book.progress_of(WAVE), completed=True)
+        registry = WaveRegistry(t.cast(t.Any, first), retry_s=0.01)
+        registry.report(registry.progress_of(WAVE), completed=True)
         await asyncio.sleep(0)
         await first.end()
         assert not first.written
         second = _Owner(rows, down=False)
-        book = WaveBook(t.cast(t.Any, second), retry_s=0.01)
-        await book.restore()
-        book.tell(book.progress_of(WAVE), completed=True)
+        registry = WaveRegistry(t.cast(t.Any, second), retry_s=0.01)
+        await registry.restore()
+        registry.report(registry.progress_of(WAVE), completed=True)
         await asyncio.gather(*second.calls)
         assert second.written
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -28,22 +28,22 @@
 from ..upkeep import UpkeepSettings
 from ..upkeep import WaveProgress
 from ..upkeep import WaveView
-from .lasting import LastingTasks
+from .long_running import LongRunningTasks
 from .machines import MachineTable
 from .owner import DutyOwner
 
-__all__ = ["WaveBook", "WaveWork"]
+__all__ = ["WavePlanner", "WaveRegistry"]
 
 log = logbook.Logger("streamthread.duties")
 
 TABLE_WAVES = "cell-waves"
 """One row a wave, under its number: its progress, for the next holder."""
 
-LEAST_LEFT = 1
+MIN_POOL_MACHINES = 1
 """A pool keeps so many machines while a wave presses, so that its jobs go on."""
 
 
-class WaveBook:
+class WaveRegistry:
     """Keeps the waves' progress for the next holder, and tells the operator.
 
     :param retry_s: pause before a state that was not written is tried again.
@@ -58,7 +58,7 @@
 
     async def restore(self) -> None:
         """Read what the holder before has recorded."""
-        page = await self._owner.read_own(TABLE_WAVES)
+        page = await self._owner.read_cell_table(TABLE_WAVES)
         for row in page.rows:
             if row.value is not None:
                 self._restore(row.value)
@@ -97,16 +97,18 @@
             progress.begun.add(machine_id)
             self._record(progress)
 
-    def tell(self, progress: WaveProgress, completed: bool) -> None:
+    def report(self, progress: WaveProgress, completed: bool) -> None:
         """Write the wave's state for the operator when it has changed."""
         state = "completed" if completed else "running"
         if self._writing.get(progress.number, progress.told) == state:
             return
         self._writing[progress.number] = state
         log.info("wave-state", extra={"wave": progress.number, "state": state})
-        self._owner.spawn(self._tell(progress, state, completed))
+        self._owner.spawn(self._write_and_record(progress, state, completed))
 
-    async def _tell(self, progress: WaveProgress, state: str, completed: bool) -> None:
+    async def _write_and_record(
+        self, progress: WaveProgress, state: str, completed: bool
+    ) -> None:
         """Write a state, and only then record it: the next holder relies on that."""
         await self._write_status(progress.number, completed)
         if self._writing.get(progress.number) == state:
@@ -133,22 +135,22 @@
         self._owner.log.mark(TABLE_WAVES, str(progress.number), progress.encode)
 
 
-class WaveWork:
+class WavePlanner:
     """Decides for each wave what goes down, and empties what is to follow."""
 
     def __init__(
         self,
         owner: DutyOwner,
-        book: WaveBook,
+        registry: WaveRegistry,
         table: MachineTable,
         settings: UpkeepSettings,
     ) -> None:
         self._engine = owner.engine
         self._documents = owner.context.documents
-        self._book = book
+        self._registry = registry
         self._table = table
         self._settings = settings
-        self._lasting = LastingTasks(owner.engine, owner.kick)
+        self._long_running = LongRunningTasks(owner.engine, owner.kick)
         self._emptying: set[str] = set()
         self._due: set[str] = set()
 
@@ -158,7 +160,7 @@
         """Whether some wave had to take a machine into upkeep as the round began."""
         return machine_id in self._due
 
-    def is_swapping(self, pool: str) -> bool:
+    def has_unordered_upkeep(self, pool: str) -> bool:
         """Whether one of a pool's machines is due and nothing is ordered for it."""
         return any(
             self.is_due(machine.machine_id)
@@ -176,52 +178,52 @@
             machine_id
             for wave in self._documents.waves.values()
             for machine_id in wave.machine_ids
-            if not self._book.has_begun(wave.number, machine_id)
+            if not self._registry.has_begun(wave.number, machine_id)
         }
 
     def plan(
         self, wave: Wave, views: dict[str, MachineView], targets: dict[str, int]
     ) -> UpkeepPlan | None:
         """Return what to do for a wave now, or None when no machine is left."""
-        progress = self._book.progress_of(wave.number)
-        left = [m for m in wave.machine_ids if m not in progress.begun]
+        progress = self._registry.progress_of(wave.number)
+        remaining = [m for m in wave.machine_ids if m not in progress.begun]
         down = sum(self._table.is_down(m) for m in wave.machine_ids)
-        self._book.tell(progress, completed=not left and not down)
-        if not left:
+        self._registry.report(progress, completed=not remaining and not down)
+        if not remaining:
             return None
-        rest_s = progress.first_seen_s + wave.duration_s - time.time()
-        pressed = presses(len(left), wave.most_at_once, rest_s)
-        due = tuple(self._due_machine(views[m]) for m in left if m in views)
+        remaining_s = progress.first_seen_s + wave.duration_s - time.time()
+        urgent = presses(len(remaining), wave.most_at_once, remaining_s)
+        due = tuple(self._due_machine(views[m]) for m in remaining if m in views)
         return plan_upkeep(
             WaveView(
                 due,
-                paced_slots(len(left), wave.most_at_once, rest_s) - down,
-                self._may_give(views.values(), targets, pressed),
+                paced_slots(len(remaining), wave.most_at_once, remaining_s) - down,
+                self._releasable(views.values(), targets, urgent),
             ),
             self._settings,
         )
 
-    def _may_give(
+    def _releasable(
         self,
         views: t.Collection[MachineView],
         targets: dict[str, int],
-        pressed: bool,
+        urgent: bool,
     ) -> dict[str, int]:
         """Return how many machines each pool can do without for now.
 
         A wave that presses takes all but the last one of a pool, and machines that
         are off although pools wait for them.
         """
-        there = collections.Counter(v.pool for v in views if v.usable)
-        may_give = {
-            name: there[name] - (LEAST_LEFT if pressed else target)
+        present = collections.Counter(v.pool for v in views if v.usable)
+        releasable = {
+            name: present[name] - (MIN_POOL_MACHINES if urgent else target)
             for name, target in targets.items()
         }
         off = collections.Counter(
             v.pool for v in views if v.free_to_move and self._table.is_spare(v.pool)
         )
-        lacking = 0 if pressed else _count_lacking(views, targets)
-        return may_give | {name: count - lacking for name, count in off.items()}
+        missing = 0 if urgent else _count_missing(views, targets)
+        return releasable | {name: count - missing for name, count in off.items()}
 
     def empty(self, machine_ids: t.Iterable[str]) -> None:
         """Place nothing new on machines, and move their lasting tasks away."""
@@ -236,7 +238,7 @@
                     extra={"machine": machine_id, "load": runner.used_cpu},
                 )
             runner.emptying = True
-            self._lasting.move_away(runner)
+            self._long_running.move_away(runner)
 
     def end_round(self) -> None:
         """Let machines work again that need not be emptied any more."""
@@ -265,7 +267,7 @@
         )
 
 
-def _count_lacking(views: t.Iterable[MachineView], targets: dict[str, int]) -> int:
+def _count_missing(views: t.Iterable[MachineView], targets: dict[str, int]) -> int:
     """Return how many machines all pools lack, beside those on their way."""
-    there = collections.Counter(v.pool for v in views if v.usable or v.arriving)
-    return sum(max(0, target - there[name]) for name, target in targets.items())
+    present = collections.Counter(v.pool for v in views if v.usable or v.arriving)
+    return sum(max(0, target - present[name]) for name, target in targets.items())
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -81,8 +81,8 @@
         "cancel-of-no-job-is-committed",
         "holder/intake.py",
         "        await self._commits.flushed()\n"
-        "        return self._tell_waiting(request)\n",
-        "        return self._tell_waiting(request)\n",
+        "        return self._report_waiting(request)\n",
+        "        return self._report_waiting(request)\n",
         (f"{NO_JOB}::TestHolderThatWasReplaced",),
     ),
     Guard(
@@ -95,7 +95,7 @@
     Guard(
         "kept-cancel-outlasts-its-holder",
         "holder/inbox.py",
-        "return not self._owner.keep_cancel(cancel, may_come)",
+        "return not self._owner.retain_cancel(cancel, may_arrive)",
         "return True",
         (f"{NO_JOB}::TestCancelOfNoJob", f"{NO_JOB}::TestCancelInTheInbox"),
     ),
@@ -118,7 +118,7 @@
     Guard(
         "unnamed-pool-suspends",
         "holder/listing.py",
-        "if not self._names(entry.service):",
+        "if not self._is_named(entry.service):",
         "if False:",
         (LISTING,),
     ),
@@ -132,14 +132,14 @@
     Guard(
         "accepted-row-is-kept",
         "holder/intake.py",
-        "        if request.job_id in self._aside:\n",
+        "        if request.job_id in self._excluded:\n",
         "        if False:\n",
         ("tests/cell/test_foreign_entries.py::TestOwnRows",),
     ),
     Guard(
         "loops-are-begun-again",
         "holder/service.py",
-        "group.create_task(self._keeper.keep(name, loop))",
+        "group.create_task(self._supervisor.keep(name, loop))",
         "group.create_task(loop())",
         ("tests/cell/test_foreign_entries.py::TestUnforeseenFailures",),
     ),
@@ -300,7 +300,7 @@
     ),
     Guard(
         "acknowledged-elsewhere-is-kept",
-        "holder/handins.py",
+        "holder/submissions.py",
         "        if job.left_in_inbox:\n",
         "        if False:\n",
         (
