--- a/src/streamthread/holder/context.py
+++ b/src/streamthread/holder/context.py
@@ -1,4 +1,4 @@
-"""What a holder is given by its daemon."""
+"""What a daemon passes to its holder: clients, documents and settings."""
 
 import typing as t
 
@@ -24,7 +24,7 @@
 
 
 class ManifestSource(t.Protocol):
-    """Where the operator's newest documents are."""
+    """Provides the operator's newest documents."""
 
     manifest: Manifest | None
     waves: dict[int, Wave]
@@ -32,16 +32,15 @@
 
 @attrs.frozen
 class DutySettings:
-    """How machines are watched and ordered.
-
-    :param list_s: the list of machines is read this often.
-    :param tick_s: decisions are made this often.
-    :param settle_s: an unanswered duty is taken as not done only when the list
-        shows no trace of it after so long.
-    :param learn_s: a runner that a new holder has not heard yet counts as arriving
-        for so long; one that is well answers within some 0.1 s.
-    :param arrive_s: a machine that is up may take so long until its runner is
-        listed.
+    """How machines are monitored and ordered.
+
+    :param list_s: interval between reads of the list of machines.
+    :param tick_s: interval between decisions.
+    :param settle_s: an unanswered duty counts as not carried out if the list still
+        shows no sign of it after this time.
+    :param learn_s: a runner that a new holder has not reached yet counts as arriving
+        for this time; a healthy one answers within about 0.1 s.
+    :param arrive_s: a machine that is up may take this long until its runner is listed.
     """
 
     list_s: float = 0.5
@@ -55,11 +54,11 @@
 
 @attrs.frozen
 class CellSettings:
-    """Figures of one cell.
+    """Settings of one cell.
 
-    :param part: the part of the tables in which its rows stand.
-    :param forget_s: an ended job can be asked for at least this long.
-    :param list_pause_s: between two looks at the list of runners.
+    :param part: the part of the tables that contains the cell's rows.
+    :param forget_s: the state of an ended job is available for at least this long.
+    :param list_pause_s: pause between two reads of the list of runners.
     """
 
     part: str = "main"
@@ -77,8 +76,8 @@
 class HolderContext:
     """The clients and documents that a holder works with.
 
-    :param notes: is told of what can't be read.
-    :param failures: is told of what failed and nobody foresaw.
+    :param notes: collects reports of data that can't be decoded.
+    :param failures: collects unexpected failures.
     """
 
     daemon_id: str
--- a/src/streamthread/holder/inbox.py
+++ b/src/streamthread/holder/inbox.py
@@ -1,4 +1,6 @@
-"""Calls that other daemons left in the store while the holder was out of reach."""
+"""Requests that other daemons left in the store while they could not reach the
+holder.
+"""
 
 import asyncio
 import json
@@ -32,19 +34,20 @@
 log = logbook.Logger("streamthread.holder")
 
 BEHIND_S = 2.0
-"""The inbox is unknown when nothing was heard of it for longer: a call of its feed that
-falls silent ends after 1.8 s, and the next one answers at once. A cancel that waits
-there has to count within 3 s."""
+"""The inbox counts as outdated when its feed has not answered for longer. A call of the
+feed that gets no answer ends after 1.8 s, and the next one answers at once. A cancel
+in the inbox has to take effect within 3 s."""
 
 
 @attrs.frozen
 class InboxEntry:
-    """A job that was handed in, or a cancel, kept until the holder takes it.
+    """A submitted job or a cancel, persisted until the holder processes it.
 
-    :param body: the job as it was handed in; empty for a cancel.
-    :param configuration_version: by which the route was found; 0: it was not said.
-    :param pool: to which that configuration sends the route's jobs.
-    :param account: the client account that asks, by that configuration; empty: the
+    :param body: the job as it was submitted; empty for a cancel.
+    :param configuration_version: version of the configuration in which the route was
+        found; 0 if the sender did not name one.
+    :param pool: the pool to which that configuration sends the route's jobs.
+    :param account: the client account of the caller in that configuration; empty if the
         route needs no key.
     """
 
@@ -57,18 +60,18 @@
 
     @property
     def is_cancel(self) -> bool:
-        """Whether it asks for a cancel."""
+        """Whether the entry is a cancel."""
         return not self.body
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Encode the entry as a row's value."""
         return json.dumps(attrs.astuple(self)).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> "InboxEntry":
-        """Return what a row's value says.
+        """Decode a row's value.
 
-        :raises UnreadableError: it is no entry.
+        :raises UnreadableError: the value is not an inbox entry.
         """
         row = _ENTRIES.decode(value, "")
         return cls(
@@ -94,21 +97,21 @@
 
 
 def job_id_of(key: str) -> str:
-    """Return the id of the job that a row's key begins with.
+    """Return the job id at the start of a row's key.
 
-    A kept cancel's key has two more parts, any other one (:func:`inbox_key`); ids may
-    hold dots.
+    The key of a persisted cancel has two more parts, every other key has one
+    (:func:`inbox_key`). Ids may contain dots.
     """
     return key.rsplit(".", 2 if key.endswith(PENDING_CANCEL_SUFFIX) else 1)[0]
 
 
 def inbox_key(entry: InboxEntry) -> str:
-    """Return a key that no other entry has."""
+    """Return a unique key for an entry."""
     return f"{entry.job_id}.{new_nonce()}"
 
 
 class InboxOwner(ABC):
-    """What the inbox needs of the holder."""
+    """What the inbox needs from the holder."""
 
     @abstractmethod
     def knows_job(self, job_id: str) -> bool:
@@ -116,37 +119,41 @@
 
     @abstractmethod
     def mark_acknowledged(self, job_id: str) -> None:
-        """Learn that a job that is known was acknowledged by whoever left it here."""
+        """Note that the daemon that left a known job in the inbox has acknowledged
+        it.
+        """
 
     @abstractmethod
     def accept_from_inbox(self, entry: InboxEntry) -> bool:
-        """Take a job; return False where the configuration has not come here yet."""
+        """Accept a job; return False if the configuration it needs is not known here
+        yet.
+        """
 
     @abstractmethod
     def cancel_from_inbox(self, cancel: Cancel) -> None:
-        """Cancel a job that is known, where the cancel means it."""
+        """Cancel a known job if the cancel applies to it."""
 
     @abstractmethod
     def retain_cancel(self, cancel: Cancel, may_arrive: bool) -> bool:
-        """Keep a cancel of a job that is not known; return whether its row is needed.
+        """Retain the cancel of an unknown job; return whether its row is still needed.
 
-        :param may_come: whether the job is sure to be able to come yet.
+        :param may_arrive: whether the job is known to wait for its route.
         """
 
     @abstractmethod
     def exclude_job(self, job_id: str, error: BadInputError) -> None:
-        """Learn of a row that can't be read; a job may have been accepted with it."""
+        """Exclude a job with a row that can't be decoded; it may have been accepted."""
 
     @abstractmethod
     def delete_row(self, key: str) -> None:
-        """Have a row removed from the inbox."""
+        """Delete a row from the inbox."""
 
 
 class InboxReader:
-    """Takes the rows of the inbox in the order in which they were written.
+    """Processes the rows of the inbox in the order in which they were written.
 
-    :param waiting: jobs that wait for the configuration and cancels that wait for
-        their jobs, by key.
+    :param waiting: rows of jobs that wait for their configuration, and of cancels that
+        wait for their jobs, by key.
     """
 
     def __init__(self, feed: TableFeed, owner: InboxOwner) -> None:
@@ -158,15 +165,15 @@
         self._next_read: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Take what is left in the inbox until the cell is lost."""
+        """Process the inbox until the cell is lost."""
         while True:
             await self.read()
 
     async def read(self) -> None:
-        """Take what the inbox holds, or what has come since the last time.
+        """Process the rows that are new since the last call.
 
-        The first time this takes all rows, so that a new holder knows every job
-        that was accepted before it says of any that there is none.
+        The first call processes all rows, so that a new holder knows every accepted job
+        before it reports that a job does not exist.
         """
         while True:
             try:
@@ -179,13 +186,15 @@
 
     @property
     def behind(self) -> bool:
-        """Whether there may be rows for long that were not taken."""
+        """Whether the inbox may contain rows that have been unprocessed for too
+        long.
+        """
         return boot_s() - self._feed.known_at_s > BEHIND_S
 
     async def catch_up(self) -> None:
-        """Return once all is taken that was in the inbox at the time of this call.
+        """Process everything that is in the inbox at the time of this call.
 
-        One look at the inbox serves all who ask before it begins.
+        All callers that arrive before a read begins share that read.
 
         :raises StoreUnavailableError: the inbox can't be read.
         :raises OutcomeUnknownError: the inbox can't be read.
@@ -194,25 +203,27 @@
             self._next_read = asyncio.ensure_future(
                 self._read_after(self._current_read)
             )
-        # Whoever asks may give up; others wait for the same look.
+        # A caller may be cancelled while others wait for the same read.
         await asyncio.shield(self._next_read)
 
     async def _read_after(self, before: "asyncio.Task[None] | None") -> None:
         if before is not None:
             await asyncio.wait((before,))
             if before.cancelled() or before.exception() is not None:
-                # The store refuses reads, and counts each of them.
+                # The store counts the reads that it refuses, too.
                 await asyncio.sleep(RETRY_S)
         self._current_read, self._next_read = self._next_read, None
         self.take(await self._feed.look())
 
     def take(self, rows: t.Iterable[StoredRow]) -> None:
-        """Take rows; a whole read brings them by key, a cancel before its job."""
+        """Process rows by version; a full read returns them by key, cancels before
+        jobs.
+        """
         for row in sorted(rows, key=lambda row: row.version):
             self._process_row(row)
 
     def retry(self) -> None:
-        """Take the rows that wait, should their route or job be known by now."""
+        """Process the waiting rows again, in case their route or job is known now."""
         self.take(list(self.waiting.values()))
 
     def _process_row(self, row: StoredRow) -> None:
@@ -233,7 +244,7 @@
             self._waiting_jobs[row.key] = entry
 
     def _process(self, entry: InboxEntry) -> bool:
-        """Return whether an entry needs its row no more."""
+        """Process an entry; return whether its row is no longer needed."""
         known = self._owner.knows_job(entry.job_id)
         if not entry.is_cancel and known:
             self._owner.mark_acknowledged(entry.job_id)
@@ -248,7 +259,7 @@
         return True
 
     def has_waiting_job(self, job_id: str, account: str) -> bool:
-        """Whether a job waits here for its route that an account may know of."""
+        """Whether a job that an account may see waits here for its route."""
         return any(
             entry.job_id == job_id and may_see(account, entry.account)
             for entry in self._waiting_jobs.values()
--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -1,4 +1,4 @@
-"""Takes jobs and cancels, from callers and from the inbox, and tells their states."""
+"""Accepts jobs and cancels from callers and from the inbox, and reports job states."""
 
 import typing as t
 
@@ -37,21 +37,23 @@
 log = logbook.Logger("streamthread.holder")
 
 STORE_RETRY_AFTER_S = 1.0
-"""When to come back while the store is down: outages last some seconds."""
+"""The `retry_after_s` of refusals while the store is down; outages last some
+seconds."""
 
 
 class Intake(InboxOwner):
-    """Everything about a job that its caller sees.
+    """Handles every request of a caller about a job.
 
     :param token: the holder's fencing token, for the logs.
-    :param inbox: returns the reader of the inbox, which has the intake take its rows.
-    :param is_trusted: whether this daemon may rely on holding the cell.
-    :param may_accept: whether what is accepted now can be made durable.
-    :param accepted: called with each new job, before it is durable.
-    :param kick: has the queue looked at soon.
-    :param notes: is told of jobs that can't be read.
-    :param refused: how many hand-ins were refused for their accounts' sake, by account.
-    :param keep_cancels_s: a cancel is kept for so long while its job may still come.
+    :param inbox: returns the reader of the inbox, which passes its rows to the intake.
+    :param is_trusted: whether this daemon's lease on the cell is certainly valid.
+    :param may_accept: whether a job that is accepted now can be made durable.
+    :param on_accepted: called with each new job, before the job is durable.
+    :param kick: schedules a pass over the queue.
+    :param notes: collects reports of jobs that can't be decoded.
+    :param refused: number of submissions refused because of their account, by account.
+    :param retain_cancels_s: how long the cancel of an unknown job is retained while the
+        job may still arrive.
     """
 
     def __init__(
@@ -69,7 +71,7 @@
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
-        # Accepted jobs of which a row can't be read.
+        # Accepted jobs with a row that can't be decoded.
         self._excluded: set[str] = set()
         self._engine = engine
         self._commits = commits
@@ -87,14 +89,16 @@
     # Calls.
 
     async def answer(self, request: pb.CallRequest) -> pb.CallReply:
-        """Answer a caller's request, here or passed on by a peer."""
+        """Answer a caller's request that arrived here or was forwarded by a peer."""
         account = self._admission.authorize(request)
         if account is None:
-            reason = "a newer configuration does not know the key"
+            reason = "the API key is not in the newer configuration"
             return pb.CallReply(outcome=pb.NOT_ADMITTED, reason=reason)
         request.account = account
         if request.job_id in self._excluded:
-            return pb.CallReply(outcome=pb.UNCERTAIN, reason="its row can't be read")
+            return pb.CallReply(
+                outcome=pb.UNCERTAIN, reason="the job's row can't be decoded"
+            )
         if request.kind == pb.PENDING:
             count = self._engine.pending_count(request.route)
             return pb.CallReply(outcome=pb.OK, pending=count)
@@ -105,13 +109,14 @@
                 return await self._cancel(request)
             return await self._report_state(request)
         except (NotHolderError, StoreUnavailableError, OutcomeUnknownError):
-            # Another daemon may know more, or have taken what we did not commit.
+            # Another daemon may know more, or may have accepted the job that this one
+            # did not commit.
             return pb.CallReply(outcome=pb.UNCERTAIN)
 
     async def _find(self, job_id: str) -> Job | None:
-        """Return a job; look into the inbox before saying that there is none.
+        """Return a job; read the inbox before reporting that there is none.
 
-        An outage of the store is waited for by the commits, which are tried anyway.
+        The commits, which are retried anyway, wait for the end of a store outage.
 
         :raises NotHolderError: the cell is lost.
         :raises StoreUnavailableError: the inbox can't be read.
@@ -128,15 +133,16 @@
     # States.
 
     async def _report_state(self, request: pb.CallRequest) -> pb.CallReply:
-        """Tell a state as it is known here.
+        """Report a state as it is known here.
 
-        A holder that doubts itself tells it, too, so that an outage of the store hides
-        no job: what it says of an open job may be old, and an end stays so.
+        A holder whose lease may have expired reports it too, so that an outage of the
+        store hides no job. The state of an open job may then be outdated; the state of
+        an ended job is final.
         """
         job_id = request.job_id
         job = await self._find(job_id)
         if job is None:
-            # The next holder takes jobs out of the inbox that we would miss there.
+            # A next holder may have removed jobs from the inbox that are unknown here.
             await self._commits.confirmed()
             job = self._engine.jobs.get(job_id)
         if job is None:
@@ -147,11 +153,13 @@
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     def _refers_to(self, job: Job, request: pb.CallRequest) -> bool:
-        """Whether a call means a job of the id that it names."""
+        """Whether a request refers to the job that has the request's job id."""
         return self._admission.refers_to(job, request.route, request.account)
 
     def _report_waiting(self, request: pb.CallRequest) -> pb.CallReply:
-        """Tell of a job that waits in the inbox for its route, if there is one."""
+        """Report the state of a job that waits in the inbox for its route, if there is
+        one.
+        """
         if not self._inbox().has_waiting_job(request.job_id, request.account):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         cancelled = any(
@@ -162,19 +170,19 @@
         return pb.CallReply(outcome=pb.OK, state=state.value)
 
     async def _until_durable(self, job: Job) -> None:
-        """Return once a job, and its end if it has ended, are durable.
+        """Wait until a job, and its end if it has ended, are durable.
 
         :raises NotHolderError: the cell is lost.
-        :raises OutcomeUnknownError: the job is not kept.
+        :raises OutcomeUnknownError: the job was withdrawn and is not persisted.
         """
         if not await self._submissions.until_durable(job):
             raise OutcomeUnknownError(
-                "the job was taken back", remedy="hand it in again"
+                "the job was withdrawn before it was durable", remedy="submit it again"
             )
         while job.over and self._commits.is_marked(TABLE_RUNS, job.job_id):
             await self._commits.flushed()
 
-    # Hand-ins.
+    # Submissions.
 
     async def _submit(self, request: pb.CallRequest) -> pb.CallReply:
         job = self._engine.jobs.get(request.job_id)
@@ -187,30 +195,30 @@
                 return found
             job = found
         if not may_see(request.account, job.account):
-            # The id is taken; who took it is told to nobody else.
+            # The id belongs to another account's job, which stays hidden.
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         if not await self._submissions.until_durable(job):
-            return _refuse("the store does not take commits")
+            return _refuse("the store does not accept commits")
         await self._until_durable(job)
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     async def _until_may_accept(self) -> pb.CallReply | None:
-        """Return None once a new job may be taken, else a refusal.
+        """Return None once a new job may be accepted, or a refusal.
 
-        The inbox may hold the cancel of a job that is handed in once more.
+        The inbox may contain the cancel of a job that is being submitted again.
         """
         if not self._may_accept():
-            return _refuse("the store does not take commits")
+            return _refuse("the store does not accept commits")
         if not self._inbox().behind:
             return None
         try:
             await self._inbox().catch_up()
         except (StoreUnavailableError, OutcomeUnknownError):
-            return _refuse("the store does not give the inbox")
+            return _refuse("the store does not return the inbox")
         return None
 
     def _submit_new(self, request: pb.CallRequest) -> Job | pb.CallReply:
-        """Take a new job, or say why not."""
+        """Accept a new job, or return the reason for a refusal."""
         route = self._admission.route(request.route)
         version, account = request.configuration_version, request.account
         if self._admission.is_behind(route, version, request.pool, account):
@@ -227,9 +235,9 @@
         return self._accept(job)
 
     def _accept(self, job: Job) -> Job:
-        """Take a job; it may be acknowledged once it is durable.
+        """Accept a job; it may be acknowledged once it is durable.
 
-        Nothing of it starts where its cancel has come before it.
+        If its cancel arrived before it, none of its tasks start.
         """
         job_id = job.job_id
         self._engine.add(job)
@@ -254,12 +262,14 @@
         return job
 
     def _refuse_for_account(self, account: str, reason: str) -> pb.CallReply:
-        """Refuse a hand-in for a reason that lies with its account."""
+        """Refuse a submission for a reason that concerns its account."""
         self.refused[account] = self.refused.get(account, 0) + 1
         return pb.CallReply(outcome=pb.REFUSED, reason=reason)
 
     def refuse_overdue(self) -> None:
-        """Refuse the hand-ins that wait for commits which hang, where that is true."""
+        """Refuse submissions that wait for overdue commits, if they can be
+        withdrawn.
+        """
         self._submissions.withdraw_if_overdue(self._may_accept())
 
     # Cancels.
@@ -278,10 +288,11 @@
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     async def _cancel_unknown(self, request: pb.CallRequest) -> pb.CallReply:
-        """Confirm a cancel that finds no job, once it will find one that comes.
+        """Acknowledge the cancel of an unknown job once it would apply to a later
+        submission.
 
-        The commit that keeps it began after the inbox was read: had another daemon
-        taken the job from there, it would fail.
+        The commit that persists the cancel begins after the inbox was read. If another
+        daemon had accepted the job from the inbox, this commit would fail.
         """
         job_id = request.job_id
         self._log_unknown_job(job_id, "call")
@@ -295,7 +306,8 @@
     def _cancel_now(self, job: Job, source: str) -> None:
         """Cancel a job; the cancel is not durable yet.
 
-        :param came_by: a call, the inbox, or kept since before the job came.
+        :param source: "call", "inbox", or "kept" for a cancel that arrived before the
+            job.
         """
         runs = sum(1 for _ in job.attempts())
         self._engine.cancel(job)
@@ -311,20 +323,20 @@
         self._kick()
 
     def _log_unknown_job(self, job_id: str, source: str) -> None:
-        """Log that a cancel finds nothing, and is kept."""
+        """Log that a cancel finds no job and is retained."""
         log.info(
             "cancel-without-job",
             extra={"job": job_id, "by": source, "token": self._token},
         )
 
-    # Jobs that can't be read.
+    # Jobs that can't be decoded.
 
     def exclude_job(self, job_id: str, error: BadInputError) -> None:
-        """Leave a job alone of which a row can't be read; a caller was told it is kept.
+        """Exclude an acknowledged job, one of whose rows can't be decoded.
 
-        Its rows stay as they are, for a daemon that can read them. Until then nothing
-        of it is started or stopped here, and callers are told neither that there is
-        none nor that it was not taken.
+        Its rows stay unchanged for a daemon that can decode them. Until then this
+        daemon neither starts nor stops any of the job's tasks, and tells callers
+        neither that the job does not exist nor that it was not accepted.
         """
         if job_id not in self._excluded:
             log.error("job-kept-aside", extra={"job": job_id, "why": str(error)})
@@ -333,7 +345,7 @@
             self._notes.note(Source.CELL_ROW, error)
 
     def is_excluded(self, job_id: str) -> bool:
-        """Whether a job is left alone since a row of it can't be read."""
+        """Whether a job is excluded because one of its rows can't be decoded."""
         return job_id in self._excluded
 
     # The inbox.
@@ -343,11 +355,15 @@
         return job_id in self._engine.jobs
 
     def mark_acknowledged(self, job_id: str) -> None:
-        """Refuse a job no more that another daemon has acknowledged."""
+        """Note that another daemon has acknowledged a job, so that it is never
+        refused.
+        """
         self._engine.jobs[job_id].left_in_inbox = True
 
     def accept_from_inbox(self, entry: InboxEntry) -> bool:
-        """Take a job; return False where the configuration has not come here yet."""
+        """Accept a job; return False if the configuration it needs is not known here
+        yet.
+        """
         if self.is_excluded(entry.job_id):
             return False
         route = self._admission.route(entry.route)
@@ -370,16 +386,16 @@
         return True
 
     def cancel_from_inbox(self, cancel: Cancel) -> None:
-        """Cancel a job that is known, where the cancel means it."""
+        """Cancel a known job if the cancel applies to it."""
         job = self._engine.jobs[cancel.job_id]
         self._pending_cancels.forget(cancel)
         if not job.over and self._admission.covers(cancel, job):
             self._cancel_now(job, "inbox")
 
     def retain_cancel(self, cancel: Cancel, may_arrive: bool) -> bool:
-        """Keep a cancel of a job that is not known; return whether its row is needed.
+        """Retain the cancel of an unknown job; return whether its row is still needed.
 
-        :param may_come: whether the job is sure to be able to come yet.
+        :param may_arrive: whether the job is known to wait for its route.
         """
         if not self._pending_cancels.knows(cancel):
             self._log_unknown_job(cancel.job_id, "inbox")
@@ -392,7 +408,7 @@
         return False
 
     def delete_row(self, key: str) -> None:
-        """Have a row removed from the inbox."""
+        """Delete a row from the inbox."""
         self._commits.mark(TABLE_INBOX, key, lambda: None)
 
 
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -1,4 +1,6 @@
-"""The holder: takes calls, records, places, starts, holds and cancels."""
+"""The holder: accepts jobs and cancels, and places, starts, extends and stops their
+runs.
+"""
 
 import asyncio
 import time
@@ -51,17 +53,18 @@
 log = logbook.Logger("streamthread.holder")
 
 MAX_FAILURES = 10
-"""Failures that nobody foresaw, in :data:`FAILURES_PERIOD_S`, after which the cell is
-handed over: what is wrong in this holder's memory is right again in the next one's,
-which reads all rows anew. Where a row is the reason, the next one does no better; each
-holds the cell for some 15 s, in which runs are held and most callers are answered."""
+"""The cell is released after more unexpected failures than this within
+:data:`FAILURES_PERIOD_S`. The next holder rebuilds its memory from the rows, which
+clears a fault in this holder's memory. If a row is the cause, the next holder fails
+too; each holder then keeps the cell for about 15 s, in which runs are extended and
+most callers are answered."""
 
 FAILURES_PERIOD_S = 30.0
-"""A loop that fails each time is begun again every 2 s: some 17 times in so long."""
+"""A loop that always fails is restarted every 2 s, about 17 times in this period."""
 
 
 class Holder(SenderOwner, RunnerManagerOwner, QueueOwner):
-    """Everything that only the cell's holder does, from take-over to loss."""
+    """Runs everything that only the cell's holder does, from acquisition to loss."""
 
     def __init__(self, context: HolderContext, taken: TakenCell) -> None:
         self.context = context
@@ -105,7 +108,7 @@
         self._group: asyncio.TaskGroup | None = None
         self._lost: asyncio.Future[None] | None = None
 
-    # Parts.
+    # Components.
 
     def _open_log(self) -> CommitLog:
         return CommitLog(
@@ -152,10 +155,10 @@
         )
         return InboxReader(feed, self.intake)
 
-    # Life.
+    # Lifecycle.
 
     async def run(self) -> None:
-        """Hold the cell until it is lost or given up."""
+        """Hold the cell until it is lost or released."""
         self._lost = asyncio.get_running_loop().create_future()
         try:
             async with asyncio.TaskGroup() as group:
@@ -171,7 +174,7 @@
             reasons = [str(error) for error in group_error.exceptions]
             log.warning("holder-ends", extra={"token": self.token, "why": reasons})
         except* Exception as group_error:
-            # The commits, or the replay: nothing can be done here without them.
+            # Without the commits or the replay, the holder can't do anything.
             self.failed = True
             self.context.failures.note("holder", group_error)
         finally:
@@ -179,7 +182,7 @@
             self._group = None
 
     def _loops(self) -> t.Iterator[tuple[str, Loop]]:
-        """Yield what runs from the replay until the cell is lost, with its name."""
+        """Yield the named loops that run from the replay until the cell is lost."""
         yield "listing", self._listing.run
         yield "inbox", self.inbox.run
         yield "queue", self.queue.run
@@ -193,21 +196,21 @@
             yield "advice", self.advice.run
 
     def _on_failure(self, name: str) -> None:
-        """Hand the cell over once too much has failed that nobody foresaw."""
+        """Release the cell after too many unexpected failures."""
         if self.context.failures.within(FAILURES_PERIOD_S) > MAX_FAILURES:
             self.failed = True
-            self.give_up(f"too many failures, the last one in {name}")
+            self.give_up(f"too many unexpected failures, the last one in {name}")
 
     async def _until_lost(self) -> None:
         assert self._lost is not None
         await self._lost
 
     def give_up(self, why: str) -> None:
-        """End this holder; all its loops stop."""
+        """End this holder and stop all its loops."""
         self.active = False
         if self._lost is not None and not self._lost.done():
             self._lost.set_exception(
-                NotHolderError(why, remedy="the next holder goes on")
+                NotHolderError(why, remedy="the next holder continues")
             )
 
     async def _replay(self) -> None:
@@ -232,52 +235,52 @@
         )
 
     def spawn(self, call: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Run a call side by side, for as long as the cell is held."""
+        """Run a coroutine concurrently for as long as the cell is held."""
         if self._group is None:
             call.close()
             return
         self._group.create_task(self._supervisor.once(_name_of(call), call))
 
     async def read_cell_table(self, table: str) -> Page:
-        """Read one of the cell's tables, however long the store takes."""
+        """Read one of the cell's tables, retrying until the store answers."""
         return await read_with_retry(
             lambda: self.context.store.read_all(table, self.settings.part),
             "unreadable",
             table=table,
         )
 
-    # Trust.
+    # Lease validity.
 
     @property
     def trusted(self) -> bool:
-        """Whether this daemon may rely on holding the cell."""
+        """Whether this daemon's lease on the cell is certainly still valid."""
         return self.lease_validity.trusted
 
     @property
     def releasing(self) -> bool:
-        """Whether the cell is being given up: nothing new is ordered."""
+        """Whether the cell is being released; no new orders are sent then."""
         return self.lease_validity.releasing
 
     async def until_trusted(self) -> None:
-        """Return once this daemon may rely on holding the cell."""
+        """Wait until this daemon's lease on the cell is certainly valid."""
         await self.lease_validity.until_trusted()
 
     def may_extend_s(self, wanted_s: float) -> float:
-        """Return for how long runs may be extended now; 0: not at all."""
+        """Return for how long runs may be extended now; 0 means not at all."""
         return self.lease_validity.may_extend_s(wanted_s)
 
-    # Recording.
+    # Persistence.
 
     def _record_progress(self, job: Job) -> None:
         if job.over:
-            # Its row shrinks: see the codec.
+            # The row of an ended job is smaller: see the codec.
             self.log.mark(TABLE_JOBS, job.job_id, lambda: encode_definition(job))
         self.log.mark(TABLE_RUNS, job.job_id, lambda: encode_progress(job))
 
     # Jobs.
 
     async def handle(self, request: pb.CallRequest) -> pb.CallReply:
-        """Answer a caller's request, here or passed on by a peer."""
+        """Answer a caller's request that arrived here or was forwarded by a peer."""
         if not self.active:
             return pb.CallReply(outcome=pb.NOT_HOLDER)
         return await self.intake.answer(request)
@@ -288,7 +291,9 @@
         self._record_arrival(job)
 
     def _record_arrival(self, job: Job) -> None:
-        """Tell the duties that a job has come, now or under an earlier holder."""
+        """Report a job's arrival, under this holder or an earlier one, to the
+        duties.
+        """
         if self.duties is None:
             return
         work = job_work(job, self.engine.times)
@@ -297,7 +302,9 @@
             self.duties.record_job(job.service, work, boot_s() - age_s)
 
     def _request_advice(self, job: Job) -> None:
-        """Fetch tickets for all steps now, so that later ones do not wait."""
+        """Request tickets for all steps now, so that later steps don't wait for
+        them.
+        """
         if self.advice is None:
             return
         for occurrence in job.occurrences.values():
@@ -308,30 +315,30 @@
 
     @property
     def may_place(self) -> bool:
-        """Whether new tasks may go to runners now."""
+        """Whether new tasks may be sent to runners now."""
         return self.trusted and not self.releasing and self._group is not None
 
     def kick(self) -> None:
-        """Have the queue looked at soon."""
+        """Schedule a pass over the queue soon."""
         self.queue.kick()
 
     def tickets_for(self, step: StepRun) -> t.Collection[str] | None:
-        """Return the ids of the runners that may run a step; None: all."""
+        """Return the ids of the runners that may run a step; None means all."""
         return None if self.advice is None else self.advice.allowed(step)
 
     def ticket_for(self, attempt: Attempt) -> str:
-        """Return the ticket that a start must bring, or an empty text."""
+        """Return the ticket that a start must carry, or an empty string."""
         if self.advice is None:
             return ""
         return self.advice.ticket(attempt.task.step, attempt.runner_id)
 
     def forget_tickets(self, runner_id: str) -> None:
-        """Use no ticket more for a life of a runner that is over."""
+        """Discard the tickets for a runner incarnation that has exited."""
         if self.advice is not None:
             self.advice.forget_runner(runner_id)
 
     def on_bad_ticket(self, attempt: Attempt) -> None:
-        """Learn that a runner has turned a ticket away."""
+        """Handle a runner's rejection of a ticket."""
         if self.advice is not None:
             self.advice.reject(attempt.task.step, attempt.runner_id)
 
@@ -342,24 +349,24 @@
     # Runners.
 
     def is_excluded(self, job_id: str) -> bool:
-        """Whether a job is left alone since a row of it can't be read."""
+        """Whether a job is excluded because one of its rows can't be decoded."""
         return self.intake.is_excluded(job_id)
 
     def on_life_over(self, link: RunnerLink, why: str) -> None:
-        """Learn that this life of the runner has ended."""
+        """Handle the exit of this runner incarnation."""
         if self.links.get(link.runner.runner_id) is not link:
-            # The next life under its id is held already.
+            # The next incarnation under this id already has a link.
             return
         del self.links[link.runner.runner_id]
         self.engine.runner_over(link.runner.runner_id, why)
         self.kick()
 
     def on_fenced(self, link: RunnerLink) -> None:
-        """Learn that the runner has seen a higher fencing token."""
+        """Handle a runner's report that it has seen a higher fencing token."""
         log.warning("fenced", extra={"runner": link.runner.runner_id})
         self.give_up("a runner has seen a higher fencing token")
 
 
 def _name_of(call: t.Coroutine[t.Any, t.Any, None]) -> str:
-    """Return the name of the function that a call runs, for the logs."""
+    """Return the name of a coroutine's function, for the logs."""
     return getattr(call, "__qualname__", "call")
