--- a/src/streamthread/holder/duties.py
+++ b/src/streamthread/holder/duties.py
@@ -1,4 +1,4 @@
-"""Moves and upkeep: reads the machines, decides, and orders one duty a machine."""
+"""Moves and upkeep: reads the machines, decides, and orders one duty per machine."""
 
 import asyncio
 import typing as t
@@ -31,26 +31,26 @@
 log = logbook.Logger("streamthread.duties")
 
 MAX_ORDER_LATENCY_S = 0.5
-"""An order that was sent has reached the cloud by then: a call takes 5 ms, and 0.25 s
+"""A sent order has reached the cloud after this time: a call takes 5 ms, and 0.25 s
 while the cloud is 50 times slower."""
 
 
 def in_flight_wait_s(alone_at_s: float, now_s: float) -> float:
     """Return for how long an earlier holder's orders may still reach the cloud.
 
-    The cloud does not refuse them.
+    The cloud does not reject them.
 
-    :param alone_at_s: on the boot clock: no such order is sent later.
+    :param alone_at_s: on the boot clock; no earlier holder sends an order after it.
     :param now_s: on the same clock.
     """
     return max(0.0, alone_at_s + MAX_ORDER_LATENCY_S - now_s)
 
 
 class DutyLoop:
-    """The fleet's duties of one holder.
+    """Runs the fleet's duties for one holder.
 
-    :param moves: how many moves were ordered.
-    :param upkeeps: how many upkeeps were ordered.
+    :param moves: number of moves ordered.
+    :param upkeeps: number of upkeeps ordered.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self.upkeeps = 0
 
     async def run(self) -> None:
-        """Do the duties until the cell is lost."""
+        """Run the duties until the cell is lost."""
         await self._registry.restore()
         await asyncio.sleep(in_flight_wait_s(self._owner.taken.alone_at_s, boot_s()))
         while True:
@@ -84,7 +84,7 @@
             await asyncio.sleep(self._settings.tick_s)
 
     def record_job(self, service: str, work: float, at_s: float) -> None:
-        """Count a job's work among a pool's arrivals.
+        """Add a job's work to its pool's arrivals.
 
         :param work: thousandths of a core times seconds.
         :param at_s: when it arrived, on the boot clock.
@@ -124,9 +124,9 @@
         targets: dict[str, int],
         views: dict[str, MachineView],
     ) -> None:
-        """Order moves by the views as they are after the waves' orders.
+        """Order moves, taking into account the orders of the waves.
 
-        :param views: from before those orders, which concern due machines alone.
+        :param views: the machines before those orders, which affect due machines only.
         """
         retained_machines = self._sizes.retained_machines(views.values())
         recent_max = self._sizes.recent_max
@@ -149,7 +149,7 @@
             self._begin_move(move)
 
     def _wanted_size(self, pool: str, targets: dict[str, int]) -> int:
-        """One machine more while one of the pool's is to be swapped for upkeep."""
+        """Return a pool's target size, plus one while a machine awaits its upkeep."""
         target = targets.get(pool, 0)
         return target + 1 if self._waves.has_unordered_upkeep(pool) else target
 
@@ -214,7 +214,7 @@
         pending: PendingDuty,
         call: t.Callable[[], t.Awaitable[DutyReply]],
     ) -> None:
-        """Send an order, unless the machine got something to do meanwhile."""
+        """Send an order, unless the machine has become busy since."""
         await self._owner.until_trusted()
         if self._owner.releasing or not self._table.may_send(machine, pending):
             self._table.discard(machine, pending, "no longer free")
@@ -223,7 +223,7 @@
         try:
             reply = await call()
         except OutcomeUnknownError as error:
-            # The list shows whether it was carried out.
+            # The list of machines shows whether the order was carried out.
             log.warning(
                 "duty-unanswered",
                 extra={"machine": machine.machine_id, "error": str(error)},
@@ -237,10 +237,11 @@
     def _on_answer(
         self, machine: Machine, pending: PendingDuty, reply: DutyReply
     ) -> None:
-        """Take an answer; it ends no life.
+        """Handle the answer to an order; it does not mark any runner as exited.
 
-        The cloud also agrees to what it did before, and then the runner that lives
-        there now is well: the list shows which life is over.
+        The cloud also confirms an order that it carried out before, and then the
+        current runner on the machine is healthy. The list shows which incarnation has
+        exited.
         """
         if reply is not DutyReply.DONE:
             self._table.discard(machine, pending, reply.value)
@@ -252,7 +253,8 @@
 
     def _on_runner_exit(self, runner_id: str, since_s: float, why: str) -> None:
         link = self._owner.links.get(runner_id)
-        # A life that began after the list was asked for is the one after the duty.
+        # An incarnation whose link is newer than the list request started after the
+        # duty.
         if link is not None and link.held_since_s < since_s:
             link.over = True
             self._owner.on_life_over(link, why)
--- a/src/streamthread/holder/machines.py
+++ b/src/streamthread/holder/machines.py
@@ -1,4 +1,4 @@
-"""The machines as the cloud lists them, and what was ordered for each."""
+"""The machines as the cloud lists them, and the duty ordered for each."""
 
 import enum
 import typing as t
@@ -26,11 +26,11 @@
 log = logbook.Logger("streamthread.duties")
 
 DUTY_STATES = (MachineState.MOVING, MachineState.UPKEEP)
-"""Whatever ran on a machine died as it came into one of these."""
+"""Everything that ran on a machine was lost when it entered one of these states."""
 
 
 class DutyKind(enum.Enum):
-    """What was ordered for a machine."""
+    """The kind of a duty that is ordered for a machine."""
 
     MOVE = "move"
     UPKEEP = "upkeep"
@@ -38,12 +38,12 @@
 
 @attrs.define
 class PendingDuty:
-    """A duty that was ordered and whose end the list has not shown yet.
+    """A duty that was ordered and that the list does not show as ended yet.
 
-    :param target: the pool that the machine is in afterwards.
-    :param runner_before: the runner that lived there when it was ordered.
+    :param target: the pool that the machine belongs to afterwards.
+    :param runner_before: the id of the runner on the machine when the duty was ordered.
     :param sent_at_s: on the boot clock.
-    :param begun: the list has shown the machine under it.
+    :param begun: the list has shown the machine in a duty state.
     :param wave: number of the wave that an upkeep belongs to.
     """
 
@@ -56,13 +56,14 @@
 
 
 class MachineTable:
-    """All machines of the fleet, at most one pending duty for each.
-
-    :param on_life_over: called with a runner whose machine was taken from it, since
-        when on the boot clock that is known, and why.
-    :param notes: is told of rows that can't be read.
-    :param machines: as the cloud listed them last, by machine id.
-    :param pending: duties whose end the list has not shown yet, by machine id.
+    """All machines of the fleet, with at most one pending duty for each.
+
+    :param on_life_over: called when a duty has ended a runner on a machine, with the
+        runner's id, the time on the boot clock at which the list was requested, and the
+        reason.
+    :param notes: collects reports of rows that can't be decoded.
+    :param machines: the machines in the cloud's latest list, by machine id.
+    :param pending: duties that the list does not show as ended yet, by machine id.
     """
 
     def __init__(
@@ -83,17 +84,17 @@
         self._listed_at_s = 0.0
         self._idle_since_s: dict[str, float] = {}
         self._up_since_s: dict[str, float] = {}
-        # By machine id: processor and memory, the most that was ever listed.
+        # Highest cpu and memory ever listed, by machine id.
         self._full_capacity: dict[str, tuple[int, int]] = {}
         self.machines: dict[str, Machine] = {}
         self.pending: dict[str, PendingDuty] = {}
 
     def runner_of(self, machine: Machine) -> RunnerState | None:
-        """Return the runner that lives on a machine, where it is listed."""
+        """Return the runner on a machine, or None if it is not listed."""
         return self._engine.runners.get(machine.runner_id)
 
     def is_spare(self, pool: str) -> bool:
-        """Whether machines of a pool are switched off."""
+        """Whether a pool is a spare pool, whose machines are switched off."""
         manifest = self._documents.manifest
         known = manifest.pools.get(pool) if manifest is not None else None
         return known is not None and known.is_spare
@@ -109,7 +110,9 @@
     # The list of machines.
 
     async def refresh(self) -> bool:
-        """Read the list when it is due; return whether it may be relied on."""
+        """Read the list when it is due; return whether the known machines are
+        current.
+        """
         now_s = boot_s()
         if now_s - self._listed_at_s < self._settings.list_s:
             return bool(self.machines)
@@ -129,10 +132,11 @@
         return True
 
     def _unreadable(self, rows: t.Iterable[UnreadableMachine]) -> dict[str, Machine]:
-        """Return the known machines whose rows can't be read.
+        """Return the known machines whose rows can't be decoded.
 
-        One that is under a duty stays so: else another would go down beside it. Any
-        other one counts as down, so that nothing is ordered for it.
+        A machine in a duty state keeps that state; otherwise another one would be taken
+        down as well. Any other machine counts as down, so that nothing is ordered for
+        it.
         """
         retained: dict[str, Machine] = {}
         for row in rows:
@@ -146,7 +150,7 @@
         return retained
 
     def _reconcile(self, machine: Machine, asked_at_s: float) -> None:
-        """Compare a machine with what was ordered for it."""
+        """Compare a listed machine with the duty ordered for it."""
         runner = self.runner_of(machine)
         if runner is not None:
             runner.machine_id = machine.machine_id
@@ -165,7 +169,7 @@
             )
         if machine.state is not MachineState.UP:
             return
-        # A runner that starts again under its id shows no change of the id.
+        # A runner that restarts under the same id does not show as a changed id.
         done = changed or pending.begun
         if done or asked_at_s - pending.sent_at_s > self._settings.settle_s:
             self._end_pending(machine, pending, done)
@@ -184,10 +188,12 @@
             },
         )
 
-    # What is ordered.
+    # Orders.
 
     def reserve(self, machine: Machine, kind: DutyKind, target: str) -> PendingDuty:
-        """Note an order before it is sent, so that nothing is placed there."""
+        """Record an order before it is sent, so that no task is placed on the
+        machine.
+        """
         runner = self.runner_of(machine)
         if runner is not None:
             runner.reserved = True
@@ -196,14 +202,14 @@
         return pending
 
     def may_send(self, machine: Machine, pending: PendingDuty) -> bool:
-        """Whether a noted order still stands and its machine is still idle."""
+        """Whether a recorded order is still pending and its machine is still idle."""
         if self.pending.get(machine.machine_id) is not pending:
             return False
         runner = self.runner_of(machine)
         return runner is None or runner.idle
 
     def discard(self, machine: Machine, pending: PendingDuty, why: str) -> None:
-        """Forget an order that was surely not carried out."""
+        """Discard an order that was certainly not carried out."""
         log.info(
             "duty-refused",
             extra={
@@ -221,12 +227,12 @@
         if runner is not None:
             runner.reserved = False
 
-    # What the decisions see.
+    # Input of the decisions.
 
     def view(self, machine: Machine, due: bool) -> MachineView:
-        """Return a machine as the decisions see it.
+        """Return a machine as input for the decisions.
 
-        :param due: it still has to go into upkeep.
+        :param due: the machine still has to go into upkeep.
         """
         now_s = boot_s()
         pending = self.pending.get(machine.machine_id)
@@ -256,10 +262,10 @@
         )
 
     def _capacity_of(self, machine: Machine) -> tuple[int, int]:
-        """Return a machine's processor and memory without what it lacks for a while.
+        """Return a machine's full cpu and memory, ignoring temporary losses.
 
-        A pool's size is reckoned by its smallest machine: one whose room has shrunk to
-        a tenth would have ten times the machines ordered.
+        A pool's size is computed from its smallest machine. If one machine's listed
+        capacity shrank to a tenth, ten times as many machines would be ordered.
         """
         cpu, memory_mb = self._full_capacity.get(machine.machine_id, (0, 0))
         full = (max(cpu, machine.cpu), max(memory_mb, machine.memory_mb))
@@ -269,7 +275,7 @@
     def _is_arriving(
         self, machine: Machine, runner: RunnerState | None, now_s: float
     ) -> bool:
-        """Whether a machine that is up will most likely be of use soon."""
+        """Whether a machine that is up will probably be usable soon."""
         settings = self._settings
         limit_s = settings.arrive_s if runner is None else settings.learn_s
         return now_s - self._up_since_s.get(machine.machine_id, now_s) < limit_s
@@ -282,14 +288,14 @@
 
 
 def _lost_share(full_cpu: int, runner: RunnerState | None) -> float:
-    """Return the share of a machine's processor that its runner lacks now."""
+    """Return the share of a machine's cpu that its runner lacks now."""
     if runner is None or not full_cpu:
         return 0.0
     return max(0.0, 1 - runner.cpu / full_cpu)
 
 
 def _pool_after(machine: Machine, pending: PendingDuty | None) -> str:
-    """Return the pool that a machine is in once its pending duty has ended."""
+    """Return the pool of a machine once its pending duty has ended."""
     if pending is not None and pending.kind is DutyKind.MOVE:
         return pending.target
     return machine.pool
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -1,4 +1,4 @@
-"""Works on the waves of upkeep: what is due, what goes down, what is emptied."""
+"""Runs the upkeep waves: finds due machines, empties them and takes them down."""
 
 import asyncio
 import collections
@@ -37,37 +37,37 @@
 log = logbook.Logger("streamthread.duties")
 
 TABLE_WAVES = "cell-waves"
-"""One row a wave, under its number: its progress, for the next holder."""
+"""One row per wave, keyed by its number: its progress, for the next holder."""
 
 MIN_POOL_MACHINES = 1
-"""A pool keeps so many machines while a wave presses, so that its jobs go on."""
+"""An urgent wave leaves each pool this many machines, so that its jobs progress."""
 
 
 class WaveRegistry:
-    """Keeps the waves' progress for the next holder, and tells the operator.
+    """Persists the waves' progress for the next holder and reports it to the operator.
 
-    :param retry_s: pause before a state that was not written is tried again.
+    :param retry_s: pause before a failed write of a wave's state is retried.
     """
 
     def __init__(self, owner: DutyOwner, retry_s: float) -> None:
         self._owner = owner
         self._retry_s = retry_s
         self._waves: dict[int, WaveProgress] = {}
-        # The states that are being written, by wave.
+        # States that are being written, by wave number.
         self._writing: dict[int, str] = {}
 
     async def restore(self) -> None:
-        """Read what the holder before has recorded."""
+        """Read the progress that the previous holder recorded."""
         page = await self._owner.read_cell_table(TABLE_WAVES)
         for row in page.rows:
             if row.value is not None:
                 self._restore(row.value)
 
     def _restore(self, value: bytes) -> None:
-        """Take a wave's progress; one that can't be read begins anew.
+        """Restore a wave's progress; if it can't be decoded, the wave starts over.
 
-        An upkeep that was begun before is then ordered again, which the machines' owner
-        answers as done.
+        Upkeeps that had begun are then ordered again, and the cloud answers that they
+        are done.
         """
         try:
             progress = WaveProgress.decode(value)
@@ -77,7 +77,7 @@
         self._waves.setdefault(progress.number, progress)
 
     def progress_of(self, number: int) -> WaveProgress:
-        """Return a wave's progress; a wave that is new begins now."""
+        """Return a wave's progress; a new wave starts now."""
         progress = self._waves.get(number)
         if progress is None:
             progress = WaveProgress(number, time.time())
@@ -91,14 +91,14 @@
         return progress is not None and machine_id in progress.begun
 
     def mark_begun(self, number: int, machine_id: str) -> None:
-        """Record that a machine needs no more upkeep for a wave."""
+        """Record that a machine needs no further upkeep for a wave."""
         progress = self._waves.get(number)
         if progress is not None:
             progress.begun.add(machine_id)
             self._record(progress)
 
     def report(self, progress: WaveProgress, completed: bool) -> None:
-        """Write the wave's state for the operator when it has changed."""
+        """Write the wave's state for the operator if it has changed."""
         state = "completed" if completed else "running"
         if self._writing.get(progress.number, progress.told) == state:
             return
@@ -109,7 +109,7 @@
     async def _write_and_record(
         self, progress: WaveProgress, state: str, completed: bool
     ) -> None:
-        """Write a state, and only then record it: the next holder relies on that."""
+        """Write a state, then record it; the next holder relies on this order."""
         await self._write_status(progress.number, completed)
         if self._writing.get(progress.number) == state:
             del self._writing[progress.number]
@@ -119,7 +119,7 @@
     async def _write_status(self, number: int, completed: bool) -> None:
         key = f"{WAVE_PREFIX}{number}"
         row = StoredRow(STATUS_TABLE, "", key, encode_wave_status(completed))
-        # A late "running" must not replace "completed".
+        # A delayed write of "running" must not overwrite "completed".
         absent = Condition(STATUS_TABLE, "", key, ABSENT)
         conditions = [] if completed else [absent]
         while True:
@@ -136,7 +136,7 @@
 
 
 class WavePlanner:
-    """Decides for each wave what goes down, and empties what is to follow."""
+    """Decides for each wave which machines go down now and which are emptied next."""
 
     def __init__(
         self,
@@ -154,14 +154,16 @@
         self._emptying: set[str] = set()
         self._due: set[str] = set()
 
-    # What is due.
+    # Due machines.
 
     def is_due(self, machine_id: str) -> bool:
-        """Whether some wave had to take a machine into upkeep as the round began."""
+        """Whether a wave still had to take a machine into upkeep when the round
+        began.
+        """
         return machine_id in self._due
 
     def has_unordered_upkeep(self, pool: str) -> bool:
-        """Whether one of a pool's machines is due and nothing is ordered for it."""
+        """Whether a machine of the pool is due and has no pending duty."""
         return any(
             self.is_due(machine.machine_id)
             and machine.pool == pool
@@ -169,10 +171,10 @@
             for machine in self._table.machines.values()
         )
 
-    # One round of decisions.
+    # A round of decisions.
 
     def begin_round(self) -> None:
-        """Forget which machines the last round emptied; see which are due."""
+        """Reset which machines are being emptied, and find those that are due."""
         self._emptying.clear()
         self._due = {
             machine_id
@@ -184,7 +186,7 @@
     def plan(
         self, wave: Wave, views: dict[str, MachineView], targets: dict[str, int]
     ) -> UpkeepPlan | None:
-        """Return what to do for a wave now, or None when no machine is left."""
+        """Return the next steps of a wave, or None when no machine remains."""
         progress = self._registry.progress_of(wave.number)
         remaining = [m for m in wave.machine_ids if m not in progress.begun]
         down = sum(self._table.is_down(m) for m in wave.machine_ids)
@@ -211,8 +213,8 @@
     ) -> dict[str, int]:
         """Return how many machines each pool can do without for now.
 
-        A wave that presses takes all but the last one of a pool, and machines that
-        are off although pools wait for them.
+        An urgent wave may take all but the last machine of a pool, and also
+        switched-off machines that other pools need.
         """
         present = collections.Counter(v.pool for v in views if v.usable)
         releasable = {
@@ -226,7 +228,7 @@
         return releasable | {name: count - missing for name, count in off.items()}
 
     def empty(self, machine_ids: t.Iterable[str]) -> None:
-        """Place nothing new on machines, and move their lasting tasks away."""
+        """Place nothing new on machines, and move their long-running tasks away."""
         for machine_id in machine_ids:
             runner = self._table.runner_of(self._table.machines[machine_id])
             if runner is None:
@@ -241,7 +243,7 @@
             self._long_running.move_away(runner)
 
     def end_round(self) -> None:
-        """Let machines work again that need not be emptied any more."""
+        """Make the machines that need not be emptied any more available again."""
         ordered = {duty.runner_before for duty in self._table.pending.values()}
         for runner in self._engine.runners.values():
             runner.emptying = runner.runner_id in self._emptying
@@ -268,6 +270,6 @@
 
 
 def _count_missing(views: t.Iterable[MachineView], targets: dict[str, int]) -> int:
-    """Return how many machines all pools lack, beside those on their way."""
+    """Return how many machines all pools lack, not counting those that are arriving."""
     present = collections.Counter(v.pool for v in views if v.usable or v.arriving)
     return sum(max(0, target - present[name]) for name, target in targets.items())
