--- a/src/streamthread/holder/admission.py
+++ b/src/streamthread/holder/admission.py
@@ -1,4 +1,4 @@
-"""Which queue and client account a call means, by the newest configuration."""
+"""Resolves a request's route and client account by the newest configuration."""
 
 from ..cell import cell_pb2 as pb
 from ..platform.accounts import Limit
@@ -13,38 +13,41 @@
 
 
 class AdmissionPolicy:
-    """Judges calls by the newer of two configurations: the sender's and ours."""
+    """Judges requests by the newer of the sender's configuration and this daemon's."""
 
     def __init__(self, documents: ManifestSource) -> None:
         self._documents = documents
 
     @property
     def manifest(self) -> Manifest | None:
-        """The configuration in force here."""
+        """The configuration that this daemon uses."""
         return self._documents.manifest
 
     @property
     def version(self) -> int:
-        """The version of the configuration in force here; 0: none is known."""
+        """The version of the configuration that this daemon uses; 0 if there is
+        none.
+        """
         return self.manifest.version if self.manifest is not None else 0
 
     def route(self, name: str) -> Route | None:
-        """Return a route of the manifest in force."""
+        """Return a route of this daemon's manifest."""
         manifest = self.manifest
         if manifest is None:
             return None
         return manifest.routes_by_name.get(name)
 
     def limit_of(self, account: str) -> Limit | None:
-        """Return what an account may have running at once; None: it is not known."""
+        """Return the limit on an account's running tasks; None if it is unknown."""
         manifest = self.manifest
         return manifest.limit_of(account) if manifest is not None else None
 
     def authorize(self, request: pb.CallRequest) -> str | None:
-        """Return the account that a call is made for, or None where it may not be made.
+        """Return the account of a request, or None if the request is not allowed.
 
-        A key that was taken away opens nothing at a daemon that does not know it yet,
-        as soon as the holder does.
+        A key that was removed from the configuration is refused as soon as the holder
+        has the new version, even if the daemon that received the request does not have
+        it yet.
         """
         manifest = self.manifest
         if manifest is None or manifest.version <= request.configuration_version:
@@ -54,21 +57,22 @@
             return ""
         if request.key_digest:
             return manifest.account_of(request.key_digest) or None
-        # The route is gone, or has come to need a key.
+        # The route was removed, or needs a key since the sender's version.
         return "" if route is None else None
 
     def is_behind(
         self, route: Route | None, version: int, pool: str, account: str
     ) -> bool:
-        """Whether only an older configuration than a sender's is known here.
+        """Whether this daemon's configuration is too old to judge a sender's request.
 
-        Where it says the same of the route, and knows the account, the job is taken
-        nevertheless.
+        An older configuration is sufficient if it sends the route to the same pool and
+        contains the account.
 
-        :param route: as it is known here.
-        :param version: of the configuration by which the sender found the route.
-        :param pool: to which that one sends the route's jobs.
-        :param account: that the caller's key opens by that one.
+        :param route: the route in this daemon's configuration.
+        :param version: version of the configuration in which the sender found the
+            route.
+        :param pool: the pool to which that configuration sends the route's jobs.
+        :param account: the account of the caller's key in that configuration.
         """
         manifest = self.manifest
         if manifest is not None and manifest.version >= version:
@@ -78,19 +82,21 @@
         return bool(account) and account not in manifest.accounts
 
     def refers_to(self, job: Job, route: str, account: str) -> bool:
-        """Whether a caller at a queue means a job of the id that it names.
+        """Whether a request on a route and account refers to a job with the named id.
 
-        Its route may have another name by now; that of another queue is not meant, nor
-        that of another account.
+        The job's route may have been renamed since. A job of another queue or of
+        another account does not match.
         """
         return self._is_same_queue(job.route, route) and may_see(account, job.account)
 
     def covers(self, cancel: Cancel, job: Job) -> bool:
-        """Whether a cancel means a job of its id."""
+        """Whether a cancel applies to a job that has its id."""
         return self.refers_to(job, cancel.route, cancel.account)
 
     def _is_same_queue(self, route: str, other: str) -> bool:
-        """Whether two names may stand for one route; one that is gone was renamed."""
+        """Whether two names may stand for one route; a missing one may have been
+        renamed.
+        """
         if route == other:
             return True
         return self.route(route) is None or self.route(other) is None
--- a/src/streamthread/holder/advice.py
+++ b/src/streamthread/holder/advice.py
@@ -1,4 +1,4 @@
-"""Tickets for steps that only some runners may run, fetched ahead of need."""
+"""Fetches tickets ahead of need for steps that only some runners may run."""
 
 import asyncio
 import collections
@@ -20,21 +20,23 @@
 log = logbook.Logger("streamthread.advice")
 
 RUNNERS_PER_CALL = 30
-"""A call takes longer for each runner; objectives allow for one call on 30."""
+"""Maximum number of runners in a call. A call takes longer for each runner, and the
+objectives allow for one call on 30."""
 
 USABLE_SHARE = 0.8
-"""A ticket is used for so much of its time: the start has to arrive in it too."""
+"""A ticket is used for this share of its validity, as the start must arrive within
+it."""
 
 RETRY_S = 0.1
 MAX_STEPS = 2000
-"""Steps; beyond that, those that are over are dropped."""
+"""Above this number of cached steps, those that have ended are dropped."""
 
 
 @attrs.define
 class _StepTickets:
-    """What the service said of one step.
+    """The service's answer for one step.
 
-    :param asked: the step waits for its turn or for an answer.
+    :param requested: the step is queued for a call, or waits for its answer.
     """
 
     tickets: dict[str, str] = attrs.field(factory=dict)
@@ -43,11 +45,11 @@
 
 
 class AdviceCache:
-    """Asks for tickets, one call at a time, the step that is needed first.
+    """Requests tickets with one call at a time, in the order in which steps need them.
 
-    :param policy: returns a route's policy, or None where any runner will do.
-    :param runners: returns the runners of a pool that may get work.
-    :param changed: called when tickets have come.
+    :param policy: returns a route's policy, or None if any runner may run its steps.
+    :param runners: returns the runners of a pool that may receive work.
+    :param on_change: called when tickets have arrived.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
         self._wake = asyncio.Event()
 
     def request(self, step: StepRun) -> None:
-        """Fetch tickets for a step, after those that are wanted already."""
+        """Queue a request for a step's tickets, after the requests already queued."""
         if self._policy(step.occurrence.job.route) is None:
             return
         if len(self._by_step) > MAX_STEPS:
@@ -78,7 +80,7 @@
             self._wake.set()
 
     def _prune(self) -> None:
-        """Drop what is known of steps that run no more."""
+        """Drop the entries of steps that have ended."""
         self._by_step = {
             step: entry
             for step, entry in self._by_step.items()
@@ -86,7 +88,7 @@
         }
 
     def allowed(self, step: StepRun) -> t.Collection[str] | None:
-        """Return the runners that a step has tickets for; None: any will do."""
+        """Return the runners that a step has tickets for; None means any runner."""
         if self._policy(step.occurrence.job.route) is None:
             return None
         entry = self._by_step.get(step)
@@ -96,24 +98,26 @@
         return ()
 
     def ticket(self, step: StepRun, runner_id: str) -> str:
-        """Return a step's ticket for a runner, or an empty text."""
+        """Return a step's ticket for a runner, or an empty string."""
         entry = self._by_step.get(step)
         return entry.tickets.get(runner_id, "") if entry is not None else ""
 
     def reject(self, step: StepRun, runner_id: str) -> None:
-        """A runner has turned a ticket away: do not use it again."""
+        """Discard a ticket that the runner has rejected."""
         entry = self._by_step.get(step)
         if entry is not None:
             entry.tickets.pop(runner_id, None)
 
     def forget_runner(self, runner_id: str) -> None:
-        """Ask anew for the steps with a ticket for a life of a runner that is over."""
+        """Discard the tickets for a runner incarnation that has exited, and request new
+        ones.
+        """
         for step, entry in list(self._by_step.items()):
             if entry.tickets.pop(runner_id, None) is not None and not step.done:
                 self.request(step)
 
     async def run(self) -> None:
-        """Ask for what is wanted until the cell is lost."""
+        """Fetch the requested tickets until the cell is lost."""
         while True:
             await self._wake.wait()
             if not self._queue:
@@ -128,12 +132,12 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _fetch(self, step: StepRun) -> bool:
-        """Ask for one step; return whether there was an answer."""
+        """Request tickets for one step; return whether there was an answer."""
         job = step.occurrence.job
         policy = self._policy(job.route)
         runners = self._runners(job.service)[:RUNNERS_PER_CALL]
         if policy is None:
-            # Forgotten, so that it is asked for once its route has a policy again.
+            # Without an entry, the step is requested again once its route has a policy.
             self._by_step.pop(step, None)
             return True
         if not runners:
--- a/src/streamthread/holder/lease_validity.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -1,4 +1,4 @@
-"""Whether a holder may rely on holding the cell, and what follows."""
+"""Whether the holder's lease on the cell is certainly valid, and what that permits."""
 
 import asyncio
 
@@ -9,17 +9,18 @@
 __all__ = ["LeaseValidity"]
 
 VALIDITY_POLL_S = 0.02
-"""How often a doubtful holder looks whether it may go on: about three commits."""
+"""Interval at which a holder without a certain lease checks it again, about three
+commits."""
 
 RELEASE_TIMEOUT_S = 0.3
-"""A release that takes longer is not waited for: it takes two commits of 7 ms."""
+"""A release that takes longer counts as failed; it takes two commits of 7 ms."""
 
 
 class LeaseValidity:
-    """Trust in the last confirmed commit.
+    """Derives the validity of the lease from the last confirmed commit.
 
-    :param most_hold_s: the longest that runners let themselves be held.
-    :param releasing: the cell is being given up: nothing new is ordered.
+    :param most_hold_s: the longest time for which runners accept an extension.
+    :param releasing: the cell is being released; no new orders are sent.
     """
 
     def __init__(self, log: CommitLog, times: LeaseTimes, most_hold_s: float) -> None:
@@ -31,7 +32,9 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether a commit was confirmed so lately that nobody took over."""
+        """Whether a commit was confirmed so recently that no other daemon has acquired
+        the cell.
+        """
         times = self._times
         age_s = boot_s() - self._log.confirmed_at_s
         slow_doubt_s = times.doubt_after_s(self._log.commit_s)
@@ -40,7 +43,7 @@
 
     @property
     def doubtful(self) -> bool:
-        """Whether others may take the cell: no commits, or no release in time."""
+        """Whether others may acquire the cell, as commits or a release are overdue."""
         if not self.trusted:
             return True
         return (
@@ -49,32 +52,33 @@
 
     @property
     def idle_head_version(self) -> int:
-        """The head row's version, while nothing is ordered before it changes.
+        """The head row's version if nothing can be ordered until that row changes, or
+        0.
 
-        0 where something may be: a holder that trusts itself extends runs, also while
-        it waits for its release.
+        A holder with a valid lease extends runs, even while it waits for its release,
+        and returns 0.
         """
         return 0 if self.trusted else self._log.head_version
 
     def begin_release(self) -> None:
-        """Order nothing new: the cell is about to be released."""
+        """Send no new orders, as the cell is about to be released."""
         self.releasing = True
         self._release_began_at_s = boot_s()
 
     async def until_trusted(self) -> None:
-        """Return once this daemon may rely on holding the cell."""
+        """Wait until this daemon's lease on the cell is certainly valid."""
         while not self.trusted:
             await asyncio.sleep(VALIDITY_POLL_S)
 
     def may_accept(self) -> bool:
-        """Whether a job that is accepted now most likely becomes durable soon."""
+        """Whether a job that is accepted now will probably be durable soon."""
         return self.trusted and self._log.failing_since_s is None
 
     def may_extend_s(self, wanted_s: float) -> float:
-        """Return for how long runs may be extended now; 0: not at all.
+        """Return for how long runs may be extended now; 0 means not at all.
 
-        While commits fail, runs are held for as long as the runners accept, so
-        that they outlast an outage of the store.
+        While commits fail, runs are extended by the longest time that the runners
+        accept, so that they survive an outage of the store.
         """
         if not self.trusted:
             return 0.0
--- a/src/streamthread/holder/queue.py
+++ b/src/streamthread/holder/queue.py
@@ -1,4 +1,4 @@
-"""Looks at the queue: when, how often, and what goes out once it is durable."""
+"""Runs the scheduling passes, and sends starts and stops once they are durable."""
 
 import asyncio
 import time
@@ -16,18 +16,19 @@
 __all__ = ["QueueLoop", "QueueOwner"]
 
 MAX_PASS_INTERVAL_S = 0.5
-"""The queue is looked at this often even when nothing is heard."""
+"""A scheduling pass runs at least this often, even without any event."""
 
 MIN_PAUSE_S = 0.004
-"""Between two looks at the queue: events of half a commit's time share one."""
+"""Minimum pause between two passes. Events that arrive within half the duration of a
+commit share a pass."""
 
 PAUSE_FACTOR = 4.0
-"""The pause is this many times what the last look took, so that looking takes a
-fifth of the processor at most, however long the queue is."""
+"""The pause lasts this many times as long as the last pass, so that passes use at most
+a fifth of the processor, however long the queue is."""
 
 
 class QueueOwner(ABC):
-    """What the queue needs of the holder."""
+    """What the queue needs from the holder."""
 
     engine: Engine
     log: CommitLog
@@ -36,23 +37,23 @@
     @property
     @abstractmethod
     def may_place(self) -> bool:
-        """Whether new tasks may go to runners now."""
+        """Whether new tasks may be sent to runners now."""
 
     @abstractmethod
     async def until_trusted(self) -> None:
-        """Return once this daemon may rely on holding the cell."""
+        """Wait until this daemon's lease on the cell is certainly valid."""
 
     @abstractmethod
     def spawn(self, call: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Run a call side by side, for as long as the cell is held."""
+        """Run a coroutine concurrently for as long as the cell is held."""
 
     @abstractmethod
     def tickets_for(self, step: StepRun) -> t.Collection[str] | None:
-        """Return the ids of the runners that may run a step; None: all."""
+        """Return the ids of the runners that may run a step; None means all."""
 
 
 class QueueLoop:
-    """Places what there is room for, and sends stops."""
+    """Places tasks for which there is free capacity, and sends stops."""
 
     def __init__(self, owner: QueueOwner) -> None:
         self._owner = owner
@@ -60,11 +61,11 @@
         self._next_pass_at_s = 0.0
 
     def kick(self) -> None:
-        """Have the queue looked at soon."""
+        """Schedule a pass over the queue soon."""
         self._kick.set()
 
     async def run(self) -> None:
-        """Look at the queue until the cell is lost."""
+        """Run scheduling passes until the cell is lost."""
         while True:
             await self._owner.until_trusted()
             await asyncio.sleep(max(0.0, self._next_pass_at_s - boot_s()))
@@ -79,14 +80,14 @@
                 continue
 
     def run_pass_soon(self) -> None:
-        """Look at once, or with the next look if the last one was just now."""
+        """Run a pass at once, or schedule the next one if the pause is not over yet."""
         if boot_s() < self._next_pass_at_s:
             self.kick()
         else:
             self._run_pass_and_pause()
 
     def _run_pass_and_pause(self) -> float | None:
-        """Look at the queue, and note when it may be looked at again."""
+        """Run a pass, and set when the next one may run."""
         began_at_s = boot_s()
         next_due_s = self._run_pass()
         ended_at_s = boot_s()
@@ -95,10 +96,10 @@
         return next_due_s
 
     def _run_pass(self) -> float | None:
-        """Return when the next time of a job falls due, if one does.
+        """Run a pass; return when a job's next occurrence is due, if there is one.
 
-        Stops go out for as long as the cell is held: a holder that is about to release
-        it still confirms cancels, and extends what runs.
+        Stops are sent for as long as the cell is held: a holder that is about to
+        release it still acknowledges cancels and extends runs.
         """
         self._kick.clear()
         engine = self._owner.engine
