--- a/src/streamthread/holder/admission.py
+++ b/src/streamthread/holder/admission.py
@@ -25,9 +25,7 @@
 
     @property
     def version(self) -> int:
-        """The version of the configuration that this daemon uses; 0 if there is
-        none.
-        """
+        """The version of the configuration that this daemon uses, or 0."""
         return self.manifest.version if self.manifest is not None else 0
 
     def route(self, name: str) -> Route | None:
@@ -94,9 +92,7 @@
         return self.refers_to(job, cancel.route, cancel.account)
 
     def _is_same_queue(self, route: str, other: str) -> bool:
-        """Whether two names may stand for one route; a missing one may have been
-        renamed.
-        """
+        """Whether two names may stand for one route; an unknown name was renamed."""
         if route == other:
             return True
         return self.route(route) is None or self.route(other) is None
--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -1,4 +1,4 @@
-"""What a holder looks at now and then: its commits, all runs, what has ended."""
+"""Periodic checks of the holder: its commits, all runs, and jobs that have ended."""
 
 import asyncio
 import time
@@ -17,17 +17,17 @@
 log = logbook.Logger("streamthread.holder")
 
 COMMIT_FAILURE_POLL_S = 0.1
-"""How often we look whether commits have begun to fail, or work again."""
+"""Interval between checks whether commits have begun to fail or have recovered."""
 
 FORGET_INTERVAL_S = 1.0
-"""How often ended jobs are looked for."""
+"""Interval between checks for ended jobs."""
 
 WATCH_RUNS_INTERVAL_S = 0.25
-"""How often runs are looked at: their runners tell of them every 0.8 s."""
+"""Interval between checks of the runs; runners report on them every 0.8 s."""
 
 
 class Housekeeping:
-    """The loops of a holder that wait for time to pass, not for news."""
+    """The holder's loops that run at intervals and not on updates."""
 
     def __init__(self, owner: DutyOwner, inbox: InboxReader, intake: Intake) -> None:
         self._owner = owner
@@ -36,7 +36,7 @@
         self._inbox = inbox
 
     async def watch_runs(self) -> None:
-        """Have runs done elsewhere that lag behind or are out of reach."""
+        """Start speculative copies of runs that lag or whose runner is unreachable."""
         while True:
             await asyncio.sleep(WATCH_RUNS_INTERVAL_S)
             await self._owner.until_trusted()
@@ -48,7 +48,7 @@
                 self._owner.kick()
 
     async def extend_while_commits_fail(self) -> None:
-        """Extend all runs at once when commits begin to fail; refuse what waits."""
+        """Extend all runs once commits fail, and refuse overdue submissions."""
         failing = False
         while True:
             await asyncio.sleep(COMMIT_FAILURE_POLL_S)
@@ -62,7 +62,7 @@
                 log.info("commits-work-again")
 
     async def forget_ended_jobs(self) -> None:
-        """Drop what has ended, and take inbox rows that waited for their route."""
+        """Delete jobs that ended long enough ago, and retry the waiting inbox rows."""
         settings = self._owner.context.settings
         while True:
             await asyncio.sleep(FORGET_INTERVAL_S)
@@ -72,9 +72,10 @@
                 self._owner.log.mark(TABLE_RUNS, job.job_id, lambda: None)
 
     async def drop_orphans(self) -> None:
-        """Drop the runs on runners that were never listed here, once they have lapsed.
+        """Drop the runs on runners that were never listed here, once they have expired.
 
-        Not a moment later: a lasting task of theirs runs nowhere meanwhile.
+        This happens without delay, as a long-running task among them runs nowhere until
+        then.
         """
         bound_s = self._owner.context.settings.links.lapse_bound_s
         expired_at_s = self._owner.taken.last_hold_at_s + bound_s
--- a/src/streamthread/holder/inbox.py
+++ b/src/streamthread/holder/inbox.py
@@ -1,6 +1,4 @@
-"""Requests that other daemons left in the store while they could not reach the
-holder.
-"""
+"""Requests that other daemons left in the store while the holder was unreachable."""
 
 import asyncio
 import json
@@ -119,15 +117,11 @@
 
     @abstractmethod
     def mark_acknowledged(self, job_id: str) -> None:
-        """Note that the daemon that left a known job in the inbox has acknowledged
-        it.
-        """
+        """Note that the daemon that left a known job here has acknowledged it."""
 
     @abstractmethod
     def accept_from_inbox(self, entry: InboxEntry) -> bool:
-        """Accept a job; return False if the configuration it needs is not known here
-        yet.
-        """
+        """Accept a job; return False if its configuration is not known here yet."""
 
     @abstractmethod
     def cancel_from_inbox(self, cancel: Cancel) -> None:
@@ -186,9 +180,7 @@
 
     @property
     def behind(self) -> bool:
-        """Whether the inbox may contain rows that have been unprocessed for too
-        long.
-        """
+        """Whether rows may have been waiting in the inbox unread for too long."""
         return boot_s() - self._feed.known_at_s > BEHIND_S
 
     async def catch_up(self) -> None:
@@ -216,8 +208,9 @@
         self.take(await self._feed.look())
 
     def take(self, rows: t.Iterable[StoredRow]) -> None:
-        """Process rows by version; a full read returns them by key, cancels before
-        jobs.
+        """Process rows by version; a full read returns them ordered by key.
+
+        Ordered by key, a cancel may come before its job.
         """
         for row in sorted(rows, key=lambda row: row.version):
             self._process_row(row)
--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -157,9 +157,7 @@
         return self._admission.refers_to(job, request.route, request.account)
 
     def _report_waiting(self, request: pb.CallRequest) -> pb.CallReply:
-        """Report the state of a job that waits in the inbox for its route, if there is
-        one.
-        """
+        """Report the state of a job that waits in the inbox for its route."""
         if not self._inbox().has_waiting_job(request.job_id, request.account):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         cancelled = any(
@@ -267,9 +265,7 @@
         return pb.CallReply(outcome=pb.REFUSED, reason=reason)
 
     def refuse_overdue(self) -> None:
-        """Refuse submissions that wait for overdue commits, if they can be
-        withdrawn.
-        """
+        """Refuse submissions whose commits are overdue, if they can be withdrawn."""
         self._submissions.withdraw_if_overdue(self._may_accept())
 
     # Cancels.
@@ -288,11 +284,8 @@
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     async def _cancel_unknown(self, request: pb.CallRequest) -> pb.CallReply:
-        """Acknowledge the cancel of an unknown job once it would apply to a later
-        submission.
-
-        The commit that persists the cancel begins after the inbox was read. If another
-        daemon had accepted the job from the inbox, this commit would fail.
+        """Acknowledge the cancel of an unknown job once it applies to later
+        submissions.
         """
         job_id = request.job_id
         self._log_unknown_job(job_id, "call")
@@ -355,15 +348,13 @@
         return job_id in self._engine.jobs
 
     def mark_acknowledged(self, job_id: str) -> None:
-        """Note that another daemon has acknowledged a job, so that it is never
-        refused.
+        """Note that another daemon has acknowledged a job: it is not refused any
+        more.
         """
         self._engine.jobs[job_id].left_in_inbox = True
 
     def accept_from_inbox(self, entry: InboxEntry) -> bool:
-        """Accept a job; return False if the configuration it needs is not known here
-        yet.
-        """
+        """Accept a job; return False if its configuration is not known here yet."""
         if self.is_excluded(entry.job_id):
             return False
         route = self._admission.route(entry.route)
--- a/src/streamthread/holder/lease_validity.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -32,8 +32,8 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether a commit was confirmed so recently that no other daemon has acquired
-        the cell.
+        """Whether a commit was confirmed so recently that no other daemon has the
+        cell.
         """
         times = self._times
         age_s = boot_s() - self._log.confirmed_at_s
@@ -52,11 +52,10 @@
 
     @property
     def idle_head_version(self) -> int:
-        """The head row's version if nothing can be ordered until that row changes, or
-        0.
+        """The head row's version if nothing is ordered until that row changes, or 0.
 
-        A holder with a valid lease extends runs, even while it waits for its release,
-        and returns 0.
+        It is 0 for a holder with a valid lease, which extends runs even while it waits
+        for its release.
         """
         return 0 if self.trusted else self._log.head_version
 
--- a/src/streamthread/holder/listing.py
+++ b/src/streamthread/holder/listing.py
@@ -124,9 +124,7 @@
             self._on_entry(entry)
 
     def _is_named(self, pool: str) -> bool:
-        """Whether the configuration names a pool; without a configuration, every pool
-        is.
-        """
+        """Whether the configuration, if there is one, names a pool; else True."""
         manifest = self._documents.manifest
         return manifest is None or pool in manifest.pools
 
--- a/src/streamthread/holder/long_running.py
+++ b/src/streamthread/holder/long_running.py
@@ -1,4 +1,4 @@
-"""Moves lasting tasks off a runner whose machine goes into upkeep."""
+"""Moves long-running tasks off a runner whose machine goes into upkeep."""
 
 import typing as t
 
@@ -17,13 +17,13 @@
 log = logbook.Logger("streamthread.duties")
 
 WORKING_PERCENT = 100.0
-"""A lasting task is at work when its runner says so much."""
+"""A long-running task counts as working when its runner reports this progress."""
 
 
 class LongRunningTasks:
-    """Stops lasting tasks, as far as their steps can miss one more.
+    """Stops long-running tasks as far as their steps can do without one more.
 
-    :param kick: has the queue looked at soon, so that the stops are sent.
+    :param kick: schedules a pass over the queue, which sends the stops.
     """
 
     def __init__(self, engine: Engine, kick: t.Callable[[], None]) -> None:
@@ -31,7 +31,7 @@
         self._kick = kick
 
     def move_away(self, runner: RunnerState) -> None:
-        """Stop the lasting tasks on a runner that may be missed now."""
+        """Stop a runner's long-running tasks that their steps can do without now."""
         for attempt in list(runner.attempts.values()):
             step = attempt.task.step
             if not step.request.lasting or attempt.phase is not Phase.CONFIRMED:
@@ -46,14 +46,14 @@
                 self._kick()
 
     def _count_unavailable(self, step: StepRun, attempt: Attempt) -> int:
-        """Return how many other tasks of a step are not surely at work."""
+        """Return how many other tasks of a step are not known to be working."""
         others = (task for task in step.tasks if task is not attempt.task)
         return count_away(
             any(self._is_working(a) for a in task.attempts) for task in others
         )
 
     def _is_working(self, attempt: Attempt) -> bool:
-        """What a runner said last counts only while it still answers."""
+        """Whether a run is working; a report counts only while its runner answers."""
         runner = self._engine.runners.get(attempt.runner_id)
         if runner is None or not runner.ready:
             return False
--- a/src/streamthread/holder/machines.py
+++ b/src/streamthread/holder/machines.py
@@ -110,9 +110,7 @@
     # The list of machines.
 
     async def refresh(self) -> bool:
-        """Read the list when it is due; return whether the known machines are
-        current.
-        """
+        """Read the list when it is due; return whether the machines are known."""
         now_s = boot_s()
         if now_s - self._listed_at_s < self._settings.list_s:
             return bool(self.machines)
@@ -191,7 +189,7 @@
     # Orders.
 
     def reserve(self, machine: Machine, kind: DutyKind, target: str) -> PendingDuty:
-        """Record an order before it is sent, so that no task is placed on the
+        """Record an order before it is sent, so that nothing is placed on the
         machine.
         """
         runner = self.runner_of(machine)
--- a/src/streamthread/holder/owner.py
+++ b/src/streamthread/holder/owner.py
@@ -1,4 +1,4 @@
-"""What the duties of a holder need of it."""
+"""The part of the holder that its duties use."""
 
 import typing as t
 from abc import ABC
@@ -15,10 +15,10 @@
 
 
 class DutyOwner(ABC):
-    """The holder, as its duties see it.
+    """What the duties need from the holder.
 
-    :param taken: how the cell was taken over.
-    :param links: the runners that are listed, by runner id.
+    :param taken: how the cell was acquired.
+    :param links: links to the listed runners, by runner id.
     """
 
     token: int
@@ -31,29 +31,29 @@
     @property
     @abstractmethod
     def trusted(self) -> bool:
-        """Whether this daemon may rely on holding the cell."""
+        """Whether this daemon's lease on the cell is certainly still valid."""
 
     @property
     @abstractmethod
     def releasing(self) -> bool:
-        """Whether the cell is being given up: nothing new is ordered."""
+        """Whether the cell is being released; no new orders are sent then."""
 
     @abstractmethod
     async def until_trusted(self) -> None:
-        """Return once this daemon may rely on holding the cell."""
+        """Wait until this daemon's lease on the cell is certainly valid."""
 
     @abstractmethod
     async def read_cell_table(self, table: str) -> Page:
-        """Read one of the cell's tables, however long the store takes."""
+        """Read one of the cell's tables, retrying until the store answers."""
 
     @abstractmethod
     def spawn(self, call: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Run a call side by side, for as long as the cell is held."""
+        """Run a coroutine concurrently for as long as the cell is held."""
 
     @abstractmethod
     def kick(self) -> None:
-        """Have the queue looked at soon."""
+        """Schedule a pass over the queue soon."""
 
     @abstractmethod
     def on_life_over(self, link: RunnerLink, why: str) -> None:
-        """Learn that this life of the runner has ended."""
+        """Handle the exit of this runner incarnation."""
--- a/src/streamthread/holder/pending_cancels.py
+++ b/src/streamthread/holder/pending_cancels.py
@@ -1,4 +1,4 @@
-"""Cancels that find no job: kept for as long as their jobs may still come."""
+"""Cancels of unknown jobs, retained for as long as their jobs may still arrive."""
 
 import zlib
 
@@ -9,18 +9,19 @@
 __all__ = ["PENDING_CANCEL_SUFFIX", "Cancel", "PendingCancels", "pending_cancel_key"]
 
 PENDING_CANCEL_SUFFIX = ".kept"
-"""What the keys of kept cancels end in."""
+"""Suffix of the keys of persisted cancels."""
 
 MAX_PENDING_CANCELS = 500
-"""Each is looked at every second, in some 5 microseconds. Callers rarely cancel what is
-not known; one that does so all the time must not slow the holder down."""
+"""Each cancel is checked every second, which takes about 5 microseconds. Callers rarely
+cancel unknown jobs; a caller that does so all the time must not slow the holder
+down."""
 
 
 @attrs.frozen
 class Cancel:
-    """A cancel that found no job: its id, and who named it by which route.
+    """A cancel of an unknown job, with the route and account of its caller.
 
-    :param account: the client account; empty: the route needs no key.
+    :param account: the client account; empty if the route needs no key.
     """
 
     job_id: str
@@ -29,7 +30,7 @@
 
 
 def pending_cancel_key(cancel: Cancel) -> str:
-    """Return the key of a kept cancel in the inbox: each replaces the one before."""
+    """Return a cancel's key in the inbox; a repeated cancel has the same key."""
     caller = cancel.route
     if cancel.account:
         caller = f"{cancel.route}\n{cancel.account}"
@@ -37,25 +38,26 @@
 
 
 class PendingCancels:
-    """The jobs that are cancelled should they come.
+    """The cancels that apply to jobs which may still arrive.
 
-    A hand-in may come after its cancel: a caller repeats it, or the store writes its
-    row late. Times count from when this holder learnt of a cancel, so that no clock
-    of another daemon matters; the next holder counts anew.
+    A job may arrive after its cancel, if its caller repeats the submission or the store
+    writes its row late. The retention period starts when this holder learns of a
+    cancel, so that the clocks of other daemons don't matter. The next holder starts a
+    new period.
 
-    :param keep_s: a cancel is kept for so long. An ended job is, too, and turns away
-        the hand-ins that come after its cancel for no longer. Of more than
-        ``MAX_PENDING_CANCELS`` the oldest are given up sooner.
+    :param retention_s: how long a cancel is retained. An ended job is retained, and
+        rejects submissions that arrive after its cancel, for no longer. Above
+        ``MAX_PENDING_CANCELS`` the oldest cancels are evicted sooner.
     """
 
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
         self._since_s: dict[Cancel, float] = {}
-        # Until their rows are looked at again and dropped.
+        # Evicted cancels whose rows still have to be deleted.
         self._evicted: set[Cancel] = set()
 
     def add(self, cancel: Cancel) -> None:
-        """Keep a cancel from now on."""
+        """Retain a cancel; its retention period starts now."""
         self.forget(cancel)
         self._since_s[cancel] = boot_s()
         if len(self._since_s) > MAX_PENDING_CANCELS:
@@ -64,24 +66,24 @@
             self._evicted.add(oldest)
 
     def of_job(self, job_id: str) -> list[Cancel]:
-        """Return the cancels that count for a job, should it come."""
+        """Return the active cancels of a job."""
         return [c for c in self._since_s if c.job_id == job_id and self.covers(c)]
 
     def covers(self, cancel: Cancel) -> bool:
-        """Whether a cancel counts still."""
+        """Whether a cancel is still active."""
         since_s = self._since_s.get(cancel)
         return since_s is not None and boot_s() - since_s < self._retention_s
 
     def knows(self, cancel: Cancel) -> bool:
-        """Whether a cancel is kept, or was until its time was over."""
+        """Whether a cancel is retained, evicted, or past its retention period."""
         return cancel in self._since_s or cancel in self._evicted
 
     def forget(self, cancel: Cancel) -> None:
-        """Keep a cancel no more: its time is over."""
+        """Forget a cancel that no longer applies."""
         self._since_s.pop(cancel, None)
         self._evicted.discard(cancel)
 
     def forget_job(self, job_id: str) -> None:
-        """Keep no cancel of a job any more: it has come."""
+        """Forget all cancels of a job that has arrived."""
         for cancel in [c for c in self._since_s if c.job_id == job_id]:
             self.forget(cancel)
--- a/src/streamthread/holder/replay.py
+++ b/src/streamthread/holder/replay.py
@@ -1,4 +1,4 @@
-"""Reads back what the holder before has recorded."""
+"""Reads the jobs that the previous holder persisted."""
 
 import asyncio
 import typing as t
@@ -22,17 +22,17 @@
 log = logbook.Logger("streamthread.holder")
 
 Read = t.TypeVar("Read")
-"""What one reading of the store returns."""
+"""Result type of a read of the store."""
 
 RETRY_S = 0.1
-"""Pause after the store did not answer."""
+"""Pause before a failed read of the store is retried."""
 
 
 @attrs.frozen
 class Replayed:
-    """What was read back, and how long that took.
+    """The jobs that were read, and how long the reads took.
 
-    :param unreadable: by job id, why its rows can't be read.
+    :param unreadable: why a job's rows can't be decoded, by job id.
     """
 
     jobs: tuple[Job, ...]
@@ -41,9 +41,9 @@
 
 
 async def read_jobs(store: RowStore, part: str) -> Replayed:
-    """Read all jobs of a cell; nothing else may write them meanwhile.
+    """Read all jobs of a cell; no one else may write them during the read.
 
-    A job whose rows can't be read takes none of the others with it.
+    A job whose rows can't be decoded does not affect the others.
     """
     began_at_s = boot_s()
     definitions = await store.read_all(TABLE_JOBS, part)
@@ -62,7 +62,10 @@
 
 
 def _restore_job(job_id: str, definition: bytes, progress: bytes | None) -> Job:
-    """:raises BadInputError: one of the job's rows can't be read."""
+    """Decode a job from its rows.
+
+    :raises BadInputError: one of the job's rows can't be decoded.
+    """
     job = decode_row(job_id, definition)
     job.durable = True
     if progress is not None and not job.over:
@@ -73,7 +76,7 @@
 async def read_with_retry(
     read: t.Callable[[], t.Awaitable[Read]], event: str, **details: str
 ) -> Read:
-    """Read until the store answers; log each failure as an event."""
+    """Retry a read until the store answers; log each failure as an event."""
     while True:
         try:
             return await read()
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -1,6 +1,4 @@
-"""The holder: accepts jobs and cancels, and places, starts, extends and stops their
-runs.
-"""
+"""The holder: accepts jobs and cancels, and starts, extends and stops the runs."""
 
 import asyncio
 import time
@@ -291,9 +289,7 @@
         self._record_arrival(job)
 
     def _record_arrival(self, job: Job) -> None:
-        """Report a job's arrival, under this holder or an earlier one, to the
-        duties.
-        """
+        """Report a job's arrival, here or at an earlier holder, to the duties."""
         if self.duties is None:
             return
         work = job_work(job, self.engine.times)
@@ -302,9 +298,7 @@
             self.duties.record_job(job.service, work, boot_s() - age_s)
 
     def _request_advice(self, job: Job) -> None:
-        """Request tickets for all steps now, so that later steps don't wait for
-        them.
-        """
+        """Request tickets for all steps now, so that later steps don't wait."""
         if self.advice is None:
             return
         for occurrence in job.occurrences.values():
--- a/src/streamthread/holder/sizes.py
+++ b/src/streamthread/holder/sizes.py
@@ -88,9 +88,7 @@
             log.info("burst-begins", extra={"pool": service, "cpu": cpu})
 
     def _learn_machine_size(self, views: t.Iterable[MachineView]) -> None:
-        """Use the smallest machine as the measure of a burst, then add the early
-        jobs.
-        """
+        """Use the smallest machine as a burst's measure, then add the early jobs."""
         self._machine_cpu = min((view.cpu for view in views), default=0)
         if not self._machine_cpu:
             return
@@ -135,9 +133,7 @@
         return retained
 
     def _cold_share(self, now_s: float) -> float:
-        """Return the share of the initial machines that is kept; it falls from 1 to
-        0.
-        """
+        """Return the share of the initial machines to keep, which falls from 1 to 0."""
         first_s = self._first_job_at_s
         if first_s is None:
             return 1.0 if now_s - self._began_at_s < self._settings.cold_s else 0.0
@@ -202,11 +198,7 @@
 
 
 def _with_lost_capacity(cpu: float, views: t.Collection[MachineView]) -> float:
-    """Return a pool's demand, increased for capacity that its machines lack for a
-    while.
-
-    The increase is at most the lost capacity, and 0 if there is no demand.
-    """
+    """Return a pool's demand, plus capacity that its machines temporarily lack."""
     full = sum(view.cpu for view in views)
     lost = sum(view.cpu * view.lost_share for view in views)
     if not lost or lost >= full:
--- a/src/streamthread/holder/submissions.py
+++ b/src/streamthread/holder/submissions.py
@@ -1,4 +1,4 @@
-"""New jobs that are not durable yet, and the calls that wait until they are."""
+"""New jobs that are not durable yet, and the calls that wait for them."""
 
 import asyncio
 
@@ -15,31 +15,32 @@
 log = logbook.Logger("streamthread.holder")
 
 COMMIT_OVERDUE_S = 0.75
-"""A commit that is tried for longer most likely waits for a store that is silent: one
-takes 0.55 s in a store 60 times slower. Callers' calls are passed on for a second, so
-that a refusal after this time still reaches them."""
+"""A commit that is retried for longer probably waits for an unresponsive store: one
+takes 0.55 s in a store that is 60 times slower. Callers' requests are forwarded for
+a second, so a refusal after this time still reaches them."""
 
 OVERDUE_COMMITS = 1.3
-"""Where commits take longer than that, so many times as long as they took lately."""
+"""If commits take longer than that, a commit is overdue after this many times the
+duration of recent ones."""
 
 
 class Submissions:
-    """Takes new jobs back, while no transaction has carried them.
+    """Withdraws new jobs that no transaction has carried to the store.
 
-    A store that falls silent shows by its answers alone, and a caller that hands a job
-    in meanwhile would wait for its whole time limit, to be told that nobody knows. Of a
-    job that waits for the commit after the one that hangs, nothing has left this
-    process: it can be refused, truly, and its caller told when to come back.
+    An unresponsive store is only noticed by its missing answers. A caller that submits
+    a job meanwhile would wait for its whole time limit and then get an unknown outcome.
+    A job that waits for the commit after the hanging one has not left this process, so
+    it can be refused safely, and its caller told when to retry.
     """
 
     def __init__(self, engine: Engine, commits: CommitLog) -> None:
         self._engine = engine
         self._commits = commits
-        # What ends the waiting of a job's callers once it is taken back.
+        # Jobs with a future that is resolved when the job is withdrawn.
         self._waiting: dict[str, tuple[Job, asyncio.Future[None]]] = {}
 
     async def until_durable(self, job: Job) -> bool:
-        """Return whether a job is durable; False: it was taken back, and never runs.
+        """Wait until a job is durable; return False if it was withdrawn and never runs.
 
         :raises NotHolderError: the cell is lost; the job may be durable.
         """
@@ -69,7 +70,7 @@
         return future
 
     def _forget_if_written(self, job: Job) -> None:
-        """Forget a job whose row is written, whoever waited for that."""
+        """Stop tracking a job once its row is written."""
         known = self._waiting.get(job.job_id)
         if known is None or known[0] is not job:
             return
@@ -77,12 +78,12 @@
             del self._waiting[job.job_id]
 
     def withdraw_if_overdue(self, may_accept: bool) -> int:
-        """Take back what no transaction has carried, if commits hang.
+        """Withdraw the jobs that no transaction has carried, if commits are overdue.
 
         :param may_accept: whether new jobs are accepted now.
-        :return: how many jobs were taken back.
+        :return: how many jobs were withdrawn.
         """
-        # Those whose callers gave up before the row was written.
+        # Includes jobs whose callers gave up before the row was written.
         for job, _ in list(self._waiting.values()):
             self._forget_if_written(job)
         overdue_s = max(COMMIT_OVERDUE_S, OVERDUE_COMMITS * self._commits.commit_s)
@@ -106,7 +107,7 @@
         if job.durable or job.over or future.done():
             return False
         if job.left_in_inbox:
-            # Its row there goes with the next commit: this is all there is of it.
+            # The next commit deletes its inbox row; then only this holder has the job.
             return False
         if not self._commits.take_back(TABLE_JOBS, job_id):
             return False
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -157,9 +157,7 @@
     # Due machines.
 
     def is_due(self, machine_id: str) -> bool:
-        """Whether a wave still had to take a machine into upkeep when the round
-        began.
-        """
+        """Whether a machine was due for a wave's upkeep when the round began."""
         return machine_id in self._due
 
     def has_unordered_upkeep(self, pool: str) -> bool:
--- a/tools/guards_cell.py
+++ b/tools/guards_cell.py
@@ -111,7 +111,7 @@
     Guard(
         "unreadable-entry-suspends",
         "holder/listing.py",
-        '            self._suspend(row.key, "its entry can\'t be read")\n',
+        '            self._suspend(row.key, "its entry can\'t be decoded")\n',
         "",
         (LISTING,),
     ),
