--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -284,9 +284,7 @@
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     async def _cancel_unknown(self, request: pb.CallRequest) -> pb.CallReply:
-        """Acknowledge the cancel of an unknown job once it applies to later
-        submissions.
-        """
+        """Acknowledge an unknown job's cancel once it applies to later submissions."""
         job_id = request.job_id
         self._log_unknown_job(job_id, "call")
         cancel = Cancel(job_id, request.route, request.account)
@@ -348,8 +346,8 @@
         return job_id in self._engine.jobs
 
     def mark_acknowledged(self, job_id: str) -> None:
-        """Note that another daemon has acknowledged a job: it is not refused any
-        more.
+        """Note that another daemon has acknowledged a job, which is then never
+        refused.
         """
         self._engine.jobs[job_id].left_in_inbox = True
 
--- a/src/streamthread/holder/lease_validity.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -32,8 +32,8 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether a commit was confirmed so recently that no other daemon has the
-        cell.
+        """Whether the last confirmed commit is recent enough to exclude another
+        holder.
         """
         times = self._times
         age_s = boot_s() - self._log.confirmed_at_s
--- a/src/streamthread/holder/machines.py
+++ b/src/streamthread/holder/machines.py
@@ -189,9 +189,7 @@
     # Orders.
 
     def reserve(self, machine: Machine, kind: DutyKind, target: str) -> PendingDuty:
-        """Record an order before it is sent, so that nothing is placed on the
-        machine.
-        """
+        """Record an order before it is sent, so that no task is placed there."""
         runner = self.runner_of(machine)
         if runner is not None:
             runner.reserved = True
--- a/src/streamthread/holder/tests/test_accounts.py
+++ b/src/streamthread/holder/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""What a holder tells callers of one account about the jobs of another."""
+"""What the holder tells callers of one account about the jobs of another account."""
 
 import json
 import typing as t
@@ -30,7 +30,7 @@
 
 
 def manifest(version: int, is_public: bool = False, **accounts: t.Any) -> Manifest:
-    """Return a configuration; each account is given by its keys, or by its limit."""
+    """Return a configuration; each account is given by its keys or by its limit."""
     rows: list[t.Any] = []
     for name, keys in accounts.items():
         row: dict[str, t.Any] = {"name": name, "apiKeys": keys}
@@ -49,7 +49,7 @@
 
 
 class _Accounts(Cell):
-    """An intake, and calls for accounts by the sender's configuration."""
+    """An intake, with requests for accounts of the sender's configuration."""
 
     def __init__(self, newest: Manifest) -> None:
         super().__init__()
@@ -85,7 +85,7 @@
 
 class TestJobsOfOthers:
     @pytest.mark.parametrize("kind", [pb.STATE, pb.CANCEL, pb.SUBMIT])
-    async def test_are_as_if_they_were_not_there(self, kind: pb.CallKind) -> None:
+    async def test_are_hidden(self, kind: pb.CallKind) -> None:
         cell = _Accounts(BOTH)
         job = cell.add("ann")
         reply = await cell.call(kind, "bob", "b1")
@@ -95,7 +95,7 @@
         assert cell.engine.jobs[JOB_ID] is job
 
     @pytest.mark.parametrize("kind", [pb.STATE, pb.CANCEL, pb.SUBMIT])
-    async def test_own_ones_are_there_under_each_own_key(
+    async def test_are_visible_under_each_key_of_their_own_account(
         self, kind: pb.CallKind
     ) -> None:
         cell = _Accounts(BOTH)
@@ -109,17 +109,17 @@
         assert (await cell.call(pb.SUBMIT, "ann", "a2")).outcome == pb.OK
         assert cell.engine.jobs[JOB_ID] is first
 
-    async def test_a_cancel_by_another_account_is_kept_apart(self) -> None:
+    async def test_a_cancel_by_another_account_does_not_apply(self) -> None:
         cell = _Accounts(BOTH)
         assert (await cell.call(pb.CANCEL, "bob", "b1")).outcome == pb.UNKNOWN_JOB
         assert (await cell.call(pb.SUBMIT, "ann", "a1")).state == "pending"
 
-    async def test_an_own_cancel_counts_for_a_job_that_comes_later(self) -> None:
+    async def test_a_cancel_by_the_same_account_applies_to_a_later_job(self) -> None:
         cell = _Accounts(BOTH)
         assert (await cell.call(pb.CANCEL, "ann", "a2")).outcome == pb.UNKNOWN_JOB
         assert (await cell.call(pb.SUBMIT, "ann", "a1")).state == "cancelled"
 
-    def test_cancels_of_two_accounts_have_rows_of_their_own(self) -> None:
+    def test_cancels_of_two_accounts_have_separate_rows(self) -> None:
         keys = {
             pending_cancel_key(Cancel(JOB_ID, "route", name))
             for name in ("", "ann", "bob")
@@ -129,20 +129,20 @@
 
 class TestRollingChange:
     @pytest.mark.parametrize("kind", [pb.STATE, pb.CANCEL, pb.SUBMIT])
-    async def test_jobs_from_before_are_there_for_their_callers(
+    async def test_jobs_without_an_account_are_visible_to_callers(
         self, kind: pb.CallKind
     ) -> None:
         cell = _Accounts(BOTH)
         cell.add("")
         assert (await cell.call(kind, "ann", "a1")).outcome == pb.OK
 
-    async def test_a_daemon_that_knows_no_accounts_is_served(self) -> None:
+    async def test_a_daemon_without_accounts_is_served(self) -> None:
         cell = _Accounts(BOTH)
         cell.add("ann")
         reply = await cell.call(pb.STATE, "", version=0, checks_keys=False)
         assert reply.outcome == pb.OK
 
-    def test_rows_from_before_and_of_now_can_be_read(self) -> None:
+    def test_rows_with_and_without_an_account_can_be_decoded(self) -> None:
         job = new_job(JOB_ID, CLOSED, BODY, "ann")
         row = encode_definition(job)
         assert decode_row(JOB_ID, row).account == "ann"
@@ -152,7 +152,7 @@
         job.cancelled, job.ended_at_s = True, 5.0
         assert decode_row(JOB_ID, encode_definition(job)).account == "ann"
 
-    def test_inbox_rows_from_before_can_be_read(self) -> None:
+    def test_inbox_rows_without_an_account_can_be_decoded(self) -> None:
         old = json.dumps([JOB_ID, "route", "{}", 3, "desk"]).encode()
         assert InboxEntry.decode(old).account == ""
         entry = InboxEntry(JOB_ID, "route", "{}", 3, "desk", "ann")
@@ -160,18 +160,18 @@
 
 
 class TestNewerConfigurationOfTwo:
-    async def test_the_holder_refuses_a_key_that_is_gone(self) -> None:
+    async def test_the_holder_refuses_a_removed_key(self) -> None:
         cell = _Accounts(manifest(2, ann=["a2"]))
         reply = await cell.call(pb.SUBMIT, "ann", "a1")
         assert reply.outcome == pb.NOT_ADMITTED
         assert not cell.engine.jobs
 
-    async def test_the_holder_knows_who_has_the_key_now(self) -> None:
+    async def test_the_holder_uses_the_current_account_of_a_key(self) -> None:
         cell = _Accounts(manifest(2, ann=[], bob=["a1"]))
         assert (await cell.call(pb.SUBMIT, "ann", "a1")).outcome == pb.OK
         assert cell.engine.jobs[JOB_ID].account == "bob"
 
-    async def test_the_sender_is_believed_where_it_knows_more(self) -> None:
+    async def test_the_sender_decides_if_its_configuration_is_newer(self) -> None:
         cell = _Accounts(manifest(1, ann=["a1"]))
         assert (await cell.call(pb.SUBMIT, "ann", "a9", version=2)).outcome == pb.OK
         assert cell.engine.jobs[JOB_ID].account == "ann"
@@ -181,7 +181,7 @@
         reply = await cell.call(pb.SUBMIT, "new", "n1", version=2)
         assert reply.outcome == pb.BEHIND
 
-    async def test_a_route_that_has_come_to_need_a_key(self) -> None:
+    async def test_a_route_that_now_needs_a_key(self) -> None:
         cell = _Accounts(manifest(2, ann=["a1"]))
         assert (await cell.call(pb.SUBMIT, "")).outcome == pb.NOT_ADMITTED
 
@@ -206,18 +206,18 @@
         assert "over the limit of its account" in reply.reason
         assert not cell.engine.jobs
 
-    async def test_one_task_that_just_fits_is_taken(self) -> None:
+    async def test_one_task_that_just_fits_is_accepted(self) -> None:
         cell = _Accounts(manifest(1, ann=100))
         assert (await cell.call(pb.SUBMIT, "ann")).outcome == pb.OK
 
-    def test_what_was_acknowledged_is_taken_all_the_same(self) -> None:
+    def test_an_acknowledged_job_is_accepted_anyway(self) -> None:
         cell = _Accounts(manifest(1, ann=99))
         entry = InboxEntry(JOB_ID, "route", BODY.decode(), 1, "desk", "ann")
         assert cell.intake.accept_from_inbox(entry)
         assert cell.engine.jobs[JOB_ID].account == "ann"
 
 
-def test_a_desk_without_configuration_takes_the_sender_at_its_word() -> None:
+def test_without_a_configuration_the_account_of_the_sender_is_used() -> None:
     documents: t.Any = type("Documents", (), {"manifest": None, "waves": {}})()
     request = pb.CallRequest(account="ann", key_digest=b"x", configuration_version=1)
     assert AdmissionPolicy(documents).authorize(request) == "ann"
--- a/src/streamthread/holder/tests/test_advice.py
+++ b/src/streamthread/holder/tests/test_advice.py
@@ -1,4 +1,6 @@
-"""Tickets are fetched ahead, used while they hold, and not after a refusal."""
+"""Tickets are fetched ahead, used while they are valid, and dropped after a
+rejection.
+"""
 
 import asyncio
 import time
@@ -56,7 +58,9 @@
 
 
 class TestRestartedRunner:
-    async def test_gets_no_start_with_a_ticket_of_its_former_life(self) -> None:
+    async def test_gets_no_start_with_a_ticket_of_its_previous_incarnation(
+        self,
+    ) -> None:
         client = _Client()
         cache, step, other = _cache(client), _step(), _step()
         loop = asyncio.create_task(cache.run())
@@ -70,7 +74,7 @@
         finally:
             loop.cancel()
 
-    async def test_leaves_steps_alone_that_have_no_ticket_for_it(self) -> None:
+    async def test_does_not_affect_steps_without_a_ticket_for_it(self) -> None:
         client = _Client()
         cache, step = _cache(client), _step()
         loop = asyncio.create_task(cache.run())
@@ -84,7 +88,7 @@
 
 
 class TestAdvice:
-    async def test_is_not_asked_where_any_runner_will_do(self) -> None:
+    async def test_is_not_requested_if_any_runner_may_run_the_step(self) -> None:
         client = _Client()
         assert _cache(client, policy=None).allowed(_step()) is None
         assert client.steps == []
@@ -99,7 +103,7 @@
         assert client.steps == [f"{'a' * 16}.0.0"]
         running.cancel()
 
-    async def test_is_asked_again_once_tickets_have_run_out(self) -> None:
+    async def test_is_requested_again_once_tickets_have_expired(self) -> None:
         client, step = _Client(), _step()
         cache = _cache(client)
         running = asyncio.ensure_future(cache.run())
@@ -111,14 +115,14 @@
         assert len(client.steps) == 2
         running.cancel()
 
-    async def test_is_asked_again_after_a_refusal(self) -> None:
+    async def test_is_requested_again_after_a_refusal(self) -> None:
         client, step = _Client(failures=2), _step()
         cache = _cache(client)
         running = asyncio.ensure_future(cache.run())
         assert await _until_allowed(cache, step) == ["i-1"]
         running.cancel()
 
-    async def test_a_ticket_that_was_turned_away_is_not_used_again(self) -> None:
+    async def test_a_rejected_ticket_is_not_used_again(self) -> None:
         client, step = _Client(), _step()
         cache = _cache(client)
         running = asyncio.ensure_future(cache.run())
--- a/src/streamthread/holder/tests/test_advice_after_change.py
+++ b/src/streamthread/holder/tests/test_advice_after_change.py
@@ -1,4 +1,4 @@
-"""Advice that a change of the configuration made needless can be asked for later."""
+"""Tickets that a configuration change made unnecessary can be requested again later."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 
 
 class TestAdvice:
-    async def test_is_asked_for_once_its_route_has_a_policy_again(self) -> None:
-        """The route was away, or without a policy, when its turn came."""
+    async def test_is_requested_once_its_route_has_a_policy_again(self) -> None:
+        """The route was missing or had no policy when the request reached its turn."""
         client, step = _Client(), _step()
         policies: list[AdvicePolicy | None] = [POLICY]
         cache: AdviceCache = _cache(client)
--- a/src/streamthread/holder/tests/test_cancels_by_queue.py
+++ b/src/streamthread/holder/tests/test_cancels_by_queue.py
@@ -1,7 +1,7 @@
-"""A cancel at one queue does not cancel a job of another, however it comes.
+"""A cancel at one queue does not cancel a job of another queue.
 
-A call that finds the job keeps to that; one that comes before the job, or by the
-inbox, does not ask for the job's queue.
+A cancel of a known job is checked against the job's queue. One that arrives before the
+job, or through the inbox, must be checked as well.
 """
 
 import typing as t
@@ -16,7 +16,7 @@
 
 
 class TestCancelAtAnotherQueue:
-    async def test_before_a_job_came_does_not_cancel_it(self) -> None:
+    async def test_before_a_job_arrives_does_not_cancel_it(self) -> None:
         cell = Cell()
         cell.commits.may_commit.set()
         request = cell.request(pb.CANCEL)
@@ -25,7 +25,7 @@
         reply = await cell.ask(pb.SUBMIT)
         assert (reply.outcome, reply.state) == (pb.OK, "pending")
 
-    async def test_that_was_left_in_the_inbox_does_not_cancel_it(self) -> None:
+    async def test_from_the_inbox_does_not_cancel_it(self) -> None:
         cell = Cell()
         job = cell.add_job()
         feed: t.Any = None
--- a/src/streamthread/holder/tests/test_durable_ends.py
+++ b/src/streamthread/holder/tests/test_durable_ends.py
@@ -1,4 +1,4 @@
-"""An end that comes while an answer waits for a commit needs a commit of its own."""
+"""A job that ends while an answer waits for a commit needs another commit."""
 
 import asyncio
 import typing as t
@@ -12,7 +12,7 @@
 
 
 class _ExactCommits(_Commits):
-    """A flush makes durable what was marked before it, and nothing that came since."""
+    """A flush makes durable what was marked before it, and nothing marked since."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -28,7 +28,7 @@
 
 
 class TestEndDuringAnAnswer:
-    async def test_is_told_once_it_is_durable(self) -> None:
+    async def test_is_reported_once_it_is_durable(self) -> None:
         cell = Cell()
         commits = _ExactCommits()
         cell.commits = cell.intake._commits = commits
--- a/src/streamthread/holder/tests/test_housekeeping.py
+++ b/src/streamthread/holder/tests/test_housekeeping.py
@@ -1,4 +1,4 @@
-"""When a new holder takes runs that it never reached as ended."""
+"""When a new holder treats runs on runners that it never reached as ended."""
 
 import asyncio
 import types
@@ -36,7 +36,7 @@
 
 
 class TestRunsOnUnknownRunners:
-    async def test_are_dropped_once_they_have_surely_lapsed(
+    async def test_are_dropped_once_they_have_certainly_expired(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(module, "FORGET_INTERVAL_S", 3600.0)
--- a/src/streamthread/holder/tests/test_inbox.py
+++ b/src/streamthread/holder/tests/test_inbox.py
@@ -1,4 +1,4 @@
-"""Rows of the inbox: read again when asked for, and kept while they are needed."""
+"""Inbox rows are read again on request, and kept while they are needed."""
 
 import asyncio
 import typing as t
@@ -24,7 +24,7 @@
 
 
 class _Store:
-    """Holds each read until a test lets it go on."""
+    """Delays each read until a test lets it continue."""
 
     def __init__(self) -> None:
         self.rows: list[StoredRow] = []
@@ -42,7 +42,7 @@
 
 
 class _Owner(InboxOwner):
-    """Knows the route of a job once it is told to."""
+    """Knows a job's route depending on `knows_route`."""
 
     def __init__(self) -> None:
         self.knows_route = True
@@ -91,7 +91,7 @@
 
 
 class TestCatchUp:
-    async def test_takes_what_is_there(self) -> None:
+    async def test_processes_present_rows(self) -> None:
         store = _Store()
         store.rows.append(_row("key", 1, "body"))
         store.may_answer.set()
@@ -99,7 +99,7 @@
         await reader.catch_up()
         assert owner.jobs == {JOB_ID}
 
-    async def test_uses_no_look_that_had_begun_before(self) -> None:
+    async def test_uses_no_read_that_began_before(self) -> None:
         store = _Store()
         reader, owner = _reader(store)
         first = asyncio.ensure_future(reader.catch_up())
@@ -112,7 +112,7 @@
         assert owner.jobs == {JOB_ID}
         assert store.reads == 2
 
-    async def test_goes_on_though_its_first_caller_gives_up(self) -> None:
+    async def test_continues_if_its_first_caller_is_cancelled(self) -> None:
         store = _Store()
         store.rows.append(_row("key", 1, "body"))
         reader, owner = _reader(store)
@@ -124,7 +124,7 @@
         await second
         assert owner.jobs == {JOB_ID}
 
-    async def test_tells_all_that_the_store_does_not_answer(self) -> None:
+    async def test_raises_for_each_caller_if_the_store_does_not_answer(self) -> None:
         store = _Store()
         store.down = True
         store.may_answer.set()
@@ -152,7 +152,7 @@
         assert owner.cancelled == [JOB_ID]
         assert owner.dropped == ["job", "cancel"]
 
-    def test_is_dropped_once_its_job_can_come_no_more(self) -> None:
+    def test_is_deleted_once_its_job_can_no_longer_arrive(self) -> None:
         reader, owner = _reader(_Store())
         reader.take([_row("cancel", 1)])
         assert owner.dropped == []
@@ -161,7 +161,7 @@
         assert owner.dropped == ["cancel"]
         assert not reader.waiting
 
-    def test_is_told_whether_its_job_waits_as_well(self) -> None:
+    def test_is_retained_depending_on_whether_its_job_waits(self) -> None:
         reader, owner = _reader(_Store())
         reader.take([_row("cancel", 1)])
         owner.knows_route = False
--- a/src/streamthread/holder/tests/test_intake.py
+++ b/src/streamthread/holder/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""What callers are told by a holder that may have lost the cell."""
+"""What a holder that may have lost the cell tells its callers."""
 
 import asyncio
 import math
@@ -33,7 +33,7 @@
 
 
 class _Commits:
-    """Commits when a test says so, or loses the cell."""
+    """Commits when a test allows it, or loses the cell."""
 
     def __init__(self) -> None:
         self.marked: dict[tuple[str, str], t.Any] = {}
@@ -90,7 +90,7 @@
 
 
 class Cell:
-    """An intake and what it works with."""
+    """An intake and its dependencies."""
 
     def __init__(self) -> None:
         self.commits = _Commits()
@@ -124,7 +124,7 @@
         return job
 
     def lose(self) -> None:
-        """Have another daemon hold the cell; only a commit shows it."""
+        """Let another daemon hold the cell; only a commit reveals it."""
         self.trusted = False
         self.commits.lost = True
         self.commits.may_commit.set()
@@ -138,15 +138,17 @@
         return pb.CallRequest(kind=kind, route="route", job_id=job_id, job=body)
 
 
-class TestHolderThatDoubtsItself:
-    async def test_confirms_no_cancel_once_the_cell_is_lost(self) -> None:
+class TestUncertainHolder:
+    async def test_acknowledges_no_cancel_once_the_cell_is_lost(self) -> None:
         cell = Cell()
         cell.add_job()
         cell.lose()
         assert (await cell.ask(pb.CANCEL)).outcome == pb.UNCERTAIN
 
-    async def test_tells_what_it_knows_of_an_open_job(self) -> None:
-        """It may be old; an outage of the store is to hide no job from its caller."""
+    async def test_reports_what_it_knows_of_an_open_job(self) -> None:
+        """The state may be outdated, but a store outage must not hide a job from its
+        caller.
+        """
         cell = Cell()
         cell.add_job()
         cell.trusted = False
@@ -154,22 +156,22 @@
         assert not cell.commits.confirmations
 
     @pytest.mark.parametrize("kind", [pb.STATE, pb.CANCEL])
-    async def test_says_nothing_of_a_job_that_it_does_not_know(
+    async def test_reports_nothing_about_an_unknown_job(
         self, kind: pb.CallKind
     ) -> None:
         cell = Cell()
         cell.lose()
         assert (await cell.ask(kind)).outcome == pb.UNCERTAIN
 
-    async def test_confirms_no_cancel_of_a_job_that_is_over(self) -> None:
+    async def test_acknowledges_no_cancel_of_an_ended_job(self) -> None:
         cell = Cell()
         cell.engine.cancel(cell.add_job())
         cell.commits.marked.clear()
         cell.lose()
         assert (await cell.ask(pb.CANCEL)).outcome == pb.UNCERTAIN
 
-    async def test_tells_how_a_job_ended(self) -> None:
-        """That stays as it is whoever holds the cell, and callers wait for it."""
+    async def test_reports_how_a_job_ended(self) -> None:
+        """The end of a job is final under any holder, and callers wait for it."""
         cell = Cell()
         cell.engine.cancel(cell.add_job())
         cell.commits.marked.clear()
@@ -178,14 +180,14 @@
 
 
 class TestHolder:
-    async def test_makes_no_commit_to_tell_a_state(self) -> None:
+    async def test_makes_no_commit_to_report_a_state(self) -> None:
         cell = Cell()
         cell.add_job()
         assert (await cell.ask(pb.STATE)).state == "pending"
         assert not cell.commits.confirmations and not cell.inbox.reads
 
-    async def test_tells_an_end_once_it_is_durable(self) -> None:
-        """Also an end that comes while the answer waits for a commit."""
+    async def test_reports_an_end_once_it_is_durable(self) -> None:
+        """This includes an end that occurs while the answer waits for a commit."""
         cell = Cell()
         job = cell.add_job()
         job.durable = False
@@ -197,7 +199,9 @@
         assert (await answer).state == "cancelled"
         assert not cell.commits.marked
 
-    async def test_calls_no_job_unknown_while_the_inbox_cannot_be_read(self) -> None:
+    async def test_reports_no_job_as_unknown_while_the_inbox_cannot_be_read(
+        self,
+    ) -> None:
         cell = Cell()
         cell.commits.may_commit.set()
         cell.inbox.down = True
@@ -208,14 +212,14 @@
 
 class TestQueues:
     @pytest.mark.parametrize("kind", [pb.STATE, pb.CANCEL])
-    async def test_do_not_speak_for_each_other(self, kind: pb.CallKind) -> None:
+    async def test_do_not_answer_for_each_other(self, kind: pb.CallKind) -> None:
         cell = Cell()
         job = cell.add_job()
         job.route = "other"
         assert (await cell.ask(kind)).outcome == pb.UNKNOWN_JOB
         assert not job.cancelled
 
-    async def test_that_have_another_name_now_keep_their_jobs(self) -> None:
+    async def test_that_were_renamed_keep_their_jobs(self) -> None:
         cell = Cell()
         cell.commits.may_commit.set()
         job = cell.add_job()
@@ -224,14 +228,14 @@
         assert (await cell.ask(pb.CANCEL)).state == "cancelled"
 
 
-class TestHandIn:
-    async def test_asks_nothing_of_the_inbox_while_its_feed_is_heard(self) -> None:
+class TestSubmission:
+    async def test_does_not_read_the_inbox_while_its_feed_answers(self) -> None:
         cell = Cell()
         cell.commits.may_commit.set()
         assert (await cell.ask(pb.SUBMIT)).outcome == pb.OK
         assert not cell.inbox.reads
 
-    async def test_is_refused_while_its_cancel_may_wait_unread(self) -> None:
+    async def test_is_refused_while_its_cancel_may_be_unread(self) -> None:
         cell = Cell()
         cell.inbox.behind = cell.inbox.down = True
         reply = await cell.ask(pb.SUBMIT)
@@ -247,8 +251,8 @@
         assert not cell.started
 
 
-class TestCancelOfNoJob:
-    async def test_is_durable_before_it_is_confirmed(self) -> None:
+class TestCancelOfUnknownJob:
+    async def test_is_durable_before_it_is_acknowledged(self) -> None:
         cell = Cell()
         answer = asyncio.ensure_future(cell.ask(pb.CANCEL))
         while not cell.commits.marked:
@@ -257,7 +261,7 @@
         cell.commits.may_commit.set()
         assert (await answer).outcome == pb.UNKNOWN_JOB
 
-    async def test_is_told_of_a_job_that_waits_for_its_route(self) -> None:
+    async def test_applies_to_a_job_that_waits_for_its_route(self) -> None:
         cell = Cell()
         cell.commits.may_commit.set()
         cell.inbox.waiting.add(JOB_ID)
@@ -266,7 +270,7 @@
         assert (await cell.ask(pb.STATE)).state == "cancelled"
 
     @pytest.mark.parametrize("may_arrive", [False, True])
-    async def test_is_kept_past_its_time_only_while_its_job_waits(
+    async def test_is_retained_past_its_period_only_while_its_job_waits(
         self, may_arrive: bool
     ) -> None:
         cell = Cell()
@@ -276,10 +280,10 @@
 
 
 class TestJobThatAnotherDaemonAccepted:
-    """It had no answer in time, and left the job in the inbox.
+    """Another daemon got no answer in time and left the job in the inbox.
 
-    Seen in the soak: a holder whose machine was suspended took thirteen such jobs back
-    when it woke, since its commit was overdue, with their rows in the inbox removed.
+    A holder whose machine was suspended found its commit overdue when it resumed. It
+    withdrew thirteen such jobs, although it had also deleted their inbox rows.
     """
 
     def _read_inbox(self, cell: Cell) -> None:
@@ -297,7 +301,7 @@
         assert JOB_ID in cell.engine.jobs
         calling.cancel()
 
-    async def test_is_kept_where_the_inbox_told_of_it_first(self) -> None:
+    async def test_is_kept_if_it_was_read_from_the_inbox_first(self) -> None:
         cell = Cell()
         self._read_inbox(cell)
         calling = asyncio.create_task(cell.ask(pb.SUBMIT))
--- a/src/streamthread/holder/tests/test_lease_validity.py
+++ b/src/streamthread/holder/tests/test_lease_validity.py
@@ -1,4 +1,4 @@
-"""When a holder relies on the cell, and what its beats say of it."""
+"""When a holder's lease is certainly valid, and what its heartbeats report about it."""
 
 import typing as t
 
@@ -17,17 +17,17 @@
     return LeaseValidity(log, LeaseTimes(), most_hold_s=6.0)
 
 
-class TestTrust:
+class TestLeaseValidity:
     async def test_lasts_a_while_after_a_commit(self) -> None:
         assert _lease(0.0).trusted
         assert not _lease(LeaseTimes().trust_s).trusted
 
-    async def test_is_needed_to_accept_and_to_extend(self) -> None:
+    async def test_is_required_to_accept_and_to_extend(self) -> None:
         fresh, stale = _lease(0.0), _lease(2.0)
         assert fresh.may_accept() and fresh.may_extend_s(3.0) == 3.0
         assert not stale.may_accept() and stale.may_extend_s(3.0) == 0.0
 
-    async def test_slow_commits_are_no_reason_to_refuse_jobs(self) -> None:
+    async def test_slow_commits_do_not_refuse_jobs(self) -> None:
         lease = _lease(0.0)
         lease._log.trying_since_s = boot_s() - 0.5
         assert lease.may_accept()
@@ -36,12 +36,14 @@
         assert not lease.may_accept()
 
 
-class TestStandstill:
-    async def test_is_told_by_a_holder_that_orders_nothing(self) -> None:
+class TestIdleHeadVersion:
+    async def test_is_reported_by_a_holder_that_orders_nothing(self) -> None:
         assert _lease(2.0).idle_head_version == HEAD_VERSION
 
-    async def test_is_not_told_while_runs_may_be_extended(self) -> None:
-        """A release that is not taken makes it doubtful, but it goes on holding."""
+    async def test_is_not_reported_while_runs_may_be_extended(self) -> None:
+        """A failed release lets others acquire the cell, but the holder still extends
+        runs.
+        """
         lease = _lease(0.0)
         lease.begin_release()
         lease._release_began_at_s -= 2 * RELEASE_TIMEOUT_S
--- a/src/streamthread/holder/tests/test_listing.py
+++ b/src/streamthread/holder/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Runners stay listed for as long as their entries may come back."""
+"""Runners stay listed for as long as their entries may be renewed."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
 
 
 class _Link:
-    """What the list needs of a link."""
+    """The part of a link that the listing uses."""
 
     def __init__(self, entry: RunnerEntry) -> None:
         self.runner = RunnerState.from_entry(entry)
@@ -49,7 +49,7 @@
 
 
 class _Handler:
-    """Notes the runners that it is given, and the lives that follow one."""
+    """Records the runners that it is given, and the incarnations that follow one."""
 
     def __init__(self, links: dict[str, _Link]) -> None:
         self.added: list[str] = []
@@ -68,7 +68,7 @@
 
 
 class _Documents:
-    """What the list needs of the operator's documents."""
+    """The part of the operator's documents that the listing uses."""
 
     def __init__(self, manifest: Manifest | None = None) -> None:
         self.manifest = manifest
@@ -76,7 +76,7 @@
 
 
 class _Store:
-    """Answers with the pages, or errors, that a test puts in."""
+    """Answers with the pages or errors that a test provides."""
 
     def __init__(self) -> None:
         self.answers: asyncio.Queue[Page | Exception] = asyncio.Queue()
@@ -131,7 +131,7 @@
 
 
 class TestRestartedRunners:
-    async def test_are_told_apart_by_when_their_lives_began(self) -> None:
+    async def test_are_distinguished_by_their_birth_times(self) -> None:
         links: dict[str, _Link] = {}
         handler = _Handler(links)
         async with _following(links, handler=handler) as (store, added):
@@ -143,8 +143,10 @@
             assert handler.restarted == [9]
             assert added == ["i-1"]
 
-    async def test_are_not_described_by_an_entry_of_their_former_lives(self) -> None:
-        """The next life may answer a call before its own entry is read."""
+    async def test_are_not_described_by_an_entry_of_an_earlier_incarnation(
+        self,
+    ) -> None:
+        """The next incarnation may answer a call before its own entry is read."""
         links: dict[str, _Link] = {}
         handler = _Handler(links)
         async with _following(links, handler=handler) as (store, _):
@@ -162,7 +164,7 @@
             assert not links["i-1"].listed
             assert not links["i-1"].runner.draining
 
-    async def test_that_never_tell_their_birth_are_one_life(self) -> None:
+    async def test_that_report_no_birth_time_are_one_incarnation(self) -> None:
         links: dict[str, _Link] = {}
         handler = _Handler(links)
         async with _following(links, handler=handler) as (store, _):
@@ -174,7 +176,7 @@
 
 
 class TestEntries:
-    async def test_that_go_take_the_runner_with_them(self) -> None:
+    async def test_that_are_deleted_unlist_the_runner(self) -> None:
         links: dict[str, _Link] = {}
         async with _following(links) as (store, added):
             store.answers.put_nowait(Page((_row("i-1"),), 1))
@@ -182,7 +184,7 @@
             await _until(lambda: "i-1" in links and not links["i-1"].listed)
             assert added == ["i-1"]
 
-    async def test_that_lapsed_in_an_outage_may_come_back(
+    async def test_that_expired_in_an_outage_may_be_renewed(
         self, monkeypatch: t.Any
     ) -> None:
         monkeypatch.setattr(listing, "RETURN_GRACE_S", 0.3)
@@ -200,7 +202,7 @@
             assert links["i-1"].listed
             assert added == ["i-1", "i-2"]
 
-    async def test_of_silent_runners_are_not_waited_for(self) -> None:
+    async def test_of_silent_runners_have_no_grace_period(self) -> None:
         links: dict[str, _Link] = {}
         async with _following(links) as (store, _):
             store.answers.put_nowait(Page((_row("i-1"),), 1))
@@ -221,11 +223,13 @@
 class TestForeignEntries:
     """A row that another writer left among the runners' entries.
 
-    Any of them ended the holder's loop, or made a runner that nobody can call.
+    Before, any such row ended the holder's loop or added a runner that can't be called.
     """
 
     @pytest.mark.parametrize("value", FOREIGN_ENTRIES, ids=lambda value: value[:40])
-    async def test_name_no_runner_and_the_others_hold(self, value: bytes) -> None:
+    async def test_add_no_runner_and_do_not_affect_other_entries(
+        self, value: bytes
+    ) -> None:
         links: dict[str, _Link] = {}
         documents = _Documents(NAMED)
         async with _following(links, documents) as (store, added):
@@ -238,7 +242,7 @@
             assert added == ["i-1", "i-2"]
 
     @pytest.mark.parametrize("value", FOREIGN_ENTRIES, ids=lambda value: value[:40])
-    async def test_in_a_runners_place_end_nothing(self, value: bytes) -> None:
+    async def test_in_place_of_a_runners_entry_end_no_runs(self, value: bytes) -> None:
         links: dict[str, _Link] = {}
         async with _following(links, _Documents(NAMED)) as (store, added):
             store.answers.put_nowait(Page((_row("i-1"),), 1))
@@ -252,7 +256,7 @@
             await _until(lambda: link.listed)
             assert added == ["i-1"]
 
-    async def test_are_not_used_during_the_grace_after_an_outage(self) -> None:
+    async def test_are_not_used_during_the_grace_period(self) -> None:
         links: dict[str, _Link] = {}
         async with _following(links, _Documents(NAMED)) as (store, _):
             store.answers.put_nowait(Page((_row("i-1"),), 1))
@@ -274,7 +278,7 @@
             await _until(lambda: added != [])
             assert added == ["i-1"]
 
-    async def test_are_told_once_for_as_long_as_they_stay(self) -> None:
+    async def test_are_logged_once_while_they_stay(self) -> None:
         notes = UnreadableNotes()
         with logbook.TestHandler() as captured:
             for _ in range(3):
@@ -288,7 +292,7 @@
         assert lines[0].extra["key"] == "i-1"
         assert notes.counts["runner-entry"] == 3
 
-    async def test_fill_the_log_only_so_far(self) -> None:
+    async def test_fill_the_log_only_up_to_a_limit(self) -> None:
         notes = UnreadableNotes()
         with logbook.TestHandler() as captured:
             for number in range(1000):
--- a/src/streamthread/holder/tests/test_machine_capacity.py
+++ b/src/streamthread/holder/tests/test_machine_capacity.py
@@ -1,4 +1,4 @@
-"""The size of a machine is that which it has in full, while its room has shrunk."""
+"""A machine's size is its full capacity while its current capacity is reduced."""
 
 import typing as t
 
@@ -37,15 +37,15 @@
     return MachineTable(engine, documents, cloud, DutySettings(), lambda *_: None)
 
 
-class TestMachineRoom:
-    def test_that_its_runner_lacks_is_told_apart(
+class TestMachineCapacity:
+    def test_that_its_runner_lacks_is_reported_separately(
         self, table: MachineTable, runner: RunnerState
     ) -> None:
         runner.cpu = 4_000
         view = table.view(MACHINE, due=False)
         assert (view.cpu, view.lost_share) == (16_000, 0.75)
 
-    def test_that_is_listed_smaller_for_a_while_keeps_its_size(
+    def test_that_is_listed_as_reduced_keeps_its_full_size(
         self, table: MachineTable, runner: RunnerState
     ) -> None:
         table.view(MACHINE, due=False)
@@ -53,7 +53,7 @@
         view = table.view(attrs.evolve(MACHINE, cpu=1_600), due=False)
         assert (view.cpu, view.lost_share) == (16_000, 0.9)
 
-    def test_of_a_runner_that_is_not_known_is_taken_as_it_is(
+    def test_without_a_known_runner_is_used_as_listed(
         self, table: MachineTable
     ) -> None:
         view = table.view(attrs.evolve(MACHINE, runner_id="i-9"), due=False)
--- a/src/streamthread/holder/tests/test_machine_restarts.py
+++ b/src/streamthread/holder/tests/test_machine_restarts.py
@@ -1,4 +1,4 @@
-"""A duty of a machine whose runner starts again under the id that it had."""
+"""A duty of a machine whose runner restarts under the same id."""
 
 import typing as t
 
@@ -33,7 +33,7 @@
 
 
 class _Cell:
-    """A machine that is in a duty, as the list shows it from time to time."""
+    """A machine under a duty, in the states that the list shows one after the other."""
 
     def __init__(self) -> None:
         self.engine = Engine(lambda job: None)
@@ -55,8 +55,8 @@
 
 
 class TestDutyOfARestartedRunner:
-    async def test_ends_with_the_next_life_under_the_same_id(self) -> None:
-        """It is not waited for as one that the cloud may never have begun."""
+    async def test_ends_with_the_next_incarnation_under_the_same_id(self) -> None:
+        """It does not wait as long as a duty that the cloud may never have begun."""
         cell = _Cell()
         cell.table.reserve(MACHINE, DutyKind.UPKEEP, "desk")
         await cell.show(MachineState.UPKEEP)
@@ -65,14 +65,14 @@
         assert not cell.table.pending
         assert not cell.runner.reserved
 
-    async def test_is_waited_for_while_no_list_has_shown_it(self) -> None:
+    async def test_is_pending_until_a_list_has_shown_it(self) -> None:
         cell = _Cell()
         cell.table.reserve(MACHINE, DutyKind.UPKEEP, "desk")
         await cell.show(MachineState.UP)
         assert cell.table.pending
         assert cell.runner.reserved
 
-    async def test_ends_the_life_that_was_there_when_the_list_was_asked_for(
+    async def test_ends_the_incarnation_that_the_list_request_found(
         self,
     ) -> None:
         cell = _Cell()
--- a/src/streamthread/holder/tests/test_rotating_demand.py
+++ b/src/streamthread/holder/tests/test_rotating_demand.py
@@ -1,12 +1,13 @@
-"""Demand that rises and falls by turns, one pool after the other.
-
-Each pool in its time is asked for five times its mean for some seconds, which is more
-than it holds, and for a twentieth in between (the users' pages). The real decisions,
-sizes and moves, are driven in virtual time; a move takes 1.5 s. Asked of them: a pool
-has most of what its turn needs 2.5 s after it began (its size is known after 0.5 s,
-then come the moves; what the pool before it has needed lately is kept from the spare
-pool alone), has given it up 4 s after the next turn began, and few more machines move
-than twice what the turns need.
+"""Demand that rises and falls in turns, one pool after the other.
+
+In its turn, each pool gets five times its mean demand for some seconds, which is more
+than it holds, and a twentieth in between (specified in the users' pages). The test
+drives the real decisions on sizes and moves in virtual time; a move takes 1.5 s.
+
+It requires that a pool has most of what its turn needs 2.5 s after the turn began: its
+size is known after 0.5 s, then the moves follow, and what the previous pool needed
+recently is withheld from the spare pool only. The pool must have given it up 4 s after
+the next turn began, and few more machines may move than twice what the turns need.
 """
 
 import math
@@ -29,10 +30,10 @@
 POOLS = ("one", "two", "three")
 CPU = 16_000
 MACHINES_PER_POOL = 6
-"""Machines of each pool; as many are spare."""
+"""Machines of each pool, and of the spare pool."""
 
 MEAN_MACHINES = 2.0
-"""What a pool's mean demand keeps busy: in its turn ten, of the six that it holds."""
+"""Machines that a pool's mean demand uses: ten in its turn, of the six it holds."""
 
 JOB_WORK = 8_000.0
 """Thousandths of a core times seconds: half a machine for a second."""
@@ -41,7 +42,8 @@
 GROWN_S = 2.5
 SETTLED_S = 4.0
 MAX_MOVES_FACTOR = 2.5
-"""Times the machines that a turn needs; 2.1 in the worst of these seeds."""
+"""Limit on the moves, as a multiple of the machines that a turn needs; the worst of
+these seeds has 2.1."""
 
 IN_TURN = 5.0
 OUT_OF_TURN = 0.05
@@ -58,7 +60,7 @@
 
 
 class _Fleet:
-    """Pools whose machines follow the moves that are decided."""
+    """Pools whose machines follow the decided moves."""
 
     def __init__(self, patch: pytest.MonkeyPatch, seed: int) -> None:
         self.now_s = 100.0
@@ -80,7 +82,7 @@
         return sum(m.pool == pool and m.ready_at_s <= self.now_s for m in self.machines)
 
     def play(self, for_s: float, in_turn: str) -> None:
-        """Let demand come for a while, most of it to one pool."""
+        """Let demand arrive for some time, most of it at one pool."""
         end_s = self.now_s + for_s
         while self.now_s < end_s:
             self.now_s += STEP_S
@@ -112,7 +114,7 @@
             self.moves += move.target != "spare"
 
     def _mark_busy(self, in_turn: str) -> list[_Machine]:
-        """Note which machines are at work: as many as a pool's demand keeps busy."""
+        """Mark as busy as many machines of each pool as its demand uses."""
         busy = {pool: math.ceil(MEAN_MACHINES * OUT_OF_TURN) for pool in POOLS}
         busy[in_turn] = math.ceil(MEAN_MACHINES * IN_TURN)
         for machine in self.machines:
@@ -138,7 +140,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_machines_follow_the_turns(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
+def test_machines_follow_rotating_demand(
+    monkeypatch: pytest.MonkeyPatch, seed: int
+) -> None:
     fleet = _Fleet(monkeypatch, seed)
     fleet.play(5.0, "three")
     needed = math.ceil(MEAN_MACHINES * IN_TURN)
--- a/src/streamthread/holder/tests/test_runner_manager.py
+++ b/src/streamthread/holder/tests/test_runner_manager.py
@@ -1,4 +1,4 @@
-"""What the desk keeps of a runner that starts again under its id."""
+"""What the runner manager retains of a runner that restarts under the same id."""
 
 import types
 import typing as t
@@ -24,7 +24,7 @@
 
 
 class _Owner:
-    """The holder, as its runners' desk sees it; what it is to run is not begun."""
+    """The holder as the runner manager sees it; spawned coroutines are not started."""
 
     token = 1
 
@@ -61,7 +61,7 @@
 
 
 class TestRestartedRunner:
-    def test_begins_anew_with_its_entry(
+    def test_starts_afresh_with_its_entry(
         self, owner: _Owner, manager: RunnerManager
     ) -> None:
         before = owner.links["i-1"]
@@ -73,14 +73,14 @@
         assert (after.runner.cpu, after.runner.born_ms) == (500, BORN_MS + 1)
         assert owner.without_tickets == ["i-1"]
 
-    def test_gets_nothing_before_its_entry_is_known(
+    def test_receives_nothing_before_its_entry_is_known(
         self, owner: _Owner, manager: RunnerManager
     ) -> None:
         manager.on_restarted(owner.links["i-1"], BORN_MS + 1)
         assert not owner.links["i-1"].listed
         assert not owner.links["i-1"].runner.usable()
 
-    def test_may_be_held_by_the_former_clock_for_as_long_as_it_lets_itself(
+    def test_may_run_until_a_deadline_by_the_previous_clock(
         self, owner: _Owner, manager: RunnerManager
     ) -> None:
         now_s = boot_s()
--- a/src/streamthread/holder/tests/test_shared_reads.py
+++ b/src/streamthread/holder/tests/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Looks at the inbox are shared, and made one at a time."""
+"""Callers share reads of the inbox, which run one at a time."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 ROUNDS = 20
 
 
-class TestSharedLook:
-    async def test_goes_on_though_one_of_those_who_wait_gives_up(self) -> None:
+class TestSharedRead:
+    async def test_continues_if_one_waiting_caller_is_cancelled(self) -> None:
         store = _Store()
         store.rows.append(_row("key", 1, "body"))
         reader, owner = _reader(store)
@@ -28,7 +28,7 @@
         assert owner.jobs == {JOB_ID}
         assert store.reads == 2
 
-    async def test_does_not_begin_beside_another(self) -> None:
+    async def test_does_not_begin_during_another(self) -> None:
         store = _Store()
         reader, _ = _reader(store)
         first = asyncio.ensure_future(reader.catch_up())
--- a/src/streamthread/holder/tests/test_sizes.py
+++ b/src/streamthread/holder/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Pools keep their machines until jobs have told what is needed."""
+"""Pools keep their machines until jobs have shown what is needed."""
 
 import typing as t
 
@@ -22,7 +22,7 @@
 
 
 class _Clock:
-    """Stands for the clocks."""
+    """Replaces the clocks."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -48,7 +48,7 @@
         clock.now_s += SETTINGS.cold_s - 1
         assert pool_sizes.retained_machines(VIEWS) == {"one": 8, "two": 8}
 
-    def test_lets_them_go_one_after_the_other(self, clock: _Clock) -> None:
+    def test_releases_machines_one_after_the_other(self, clock: _Clock) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         pool_sizes.targets(POOLS, VIEWS)
         pool_sizes.retained_machines(VIEWS)
@@ -72,19 +72,17 @@
         assert retained["one"] == 8
         assert retained["two"] < 8
 
-    def test_does_not_wait_for_a_first_job_for_ever(self, clock: _Clock) -> None:
+    def test_does_not_wait_forever_for_a_first_job(self, clock: _Clock) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         clock.now_s += SETTINGS.cold_s + 1
         assert pool_sizes.retained_machines(VIEWS) == {"one": 0, "two": 0}
 
 
-class TestRoomThatShrinks:
+class TestReducedCapacity:
     @pytest.mark.parametrize(
         ("lost_share", "machines"), [(0.0, 4), (0.5, 5), (1.0, 5), (0.001, 4)]
     )
-    def test_is_made_up_for(
-        self, clock: _Clock, lost_share: float, machines: int
-    ) -> None:
+    def test_is_replaced(self, clock: _Clock, lost_share: float, machines: int) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         views = [
             attrs.evolve(view, lost_share=lost_share if view.pool == "one" else 0.0)
@@ -97,7 +95,7 @@
         assert targets["one"] == machines
         assert targets["two"] == SETTINGS.least_machines
 
-    def test_is_not_made_up_for_without_demand(self, clock: _Clock) -> None:
+    def test_is_not_replaced_without_demand(self, clock: _Clock) -> None:
         pool_sizes = PoolSizes(Engine(lambda job: None), SETTINGS)
         views = [attrs.evolve(view, lost_share=0.9) for view in VIEWS]
         expected = dict.fromkeys(("one", "two"), SETTINGS.least_machines)
--- a/src/streamthread/holder/tests/test_submissions.py
+++ b/src/streamthread/holder/tests/test_submissions.py
@@ -1,4 +1,4 @@
-"""Hand-ins that wait for a commit that hangs are taken back where that is true."""
+"""Submissions whose commit hangs are withdrawn if no transaction has carried them."""
 
 import asyncio
 import typing as t
@@ -20,7 +20,7 @@
 
 
 class _Commits:
-    """Commits that hang for as long as a test says."""
+    """Commits that hang until a test lets them finish."""
 
     def __init__(self) -> None:
         self.dirty = {(TABLE_JOBS, "a"), (TABLE_RUNS, "a")}
@@ -66,7 +66,7 @@
     return runner
 
 
-class TestTakenBack:
+class TestWithdrawn:
     async def test_once_a_commit_is_overdue(self) -> None:
         fixture = _Fixture()
         first, second = await fixture.wait(), await fixture.wait()
@@ -77,13 +77,13 @@
         assert fixture.engine.jobs == {}
         assert fixture.commits.dirty == set()
 
-    async def test_at_once_where_no_more_are_accepted(self) -> None:
+    async def test_at_once_if_no_more_are_accepted(self) -> None:
         fixture = _Fixture()
         waiting = await fixture.wait()
         assert fixture.submissions.withdraw_if_overdue(may_accept=False) == 1
         assert not await waiting
 
-    async def test_gives_the_room_of_unsent_starts_back(self) -> None:
+    async def test_frees_the_resources_of_unsent_starts(self) -> None:
         fixture = _Fixture()
         runner = _runner(fixture.job)
         fixture.engine.add_runner(runner)
@@ -97,7 +97,7 @@
         assert runner.idle
         assert attempt not in attempt.task.attempts
 
-    async def test_leaves_nothing_that_stops_the_same_job_later(self) -> None:
+    async def test_does_not_affect_a_later_submission_of_the_same_job(self) -> None:
         fixture = _Fixture()
         waiting = await fixture.wait()
         fixture.submissions.withdraw_if_overdue(may_accept=False)
@@ -110,9 +110,11 @@
 
 
 class TestLeftInTheInbox:
-    """Another daemon had no answer in time, left the job there and accepted it."""
+    """Another daemon got no answer in time, left the job in the inbox and accepted
+    it.
+    """
 
-    async def test_is_not_taken_back(self) -> None:
+    async def test_is_not_withdrawn(self) -> None:
         fixture = _Fixture()
         waiting = await fixture.wait()
         fixture.job.left_in_inbox = True
@@ -121,8 +123,8 @@
         assert await waiting
 
 
-class TestNoMoreWaitedFor:
-    async def test_is_a_job_that_is_durable(self) -> None:
+class TestNoLongerTracked:
+    async def test_is_a_durable_job(self) -> None:
         fixture = _Fixture()
         waiting = await fixture.wait()
         fixture.commits.dirty.clear()
@@ -141,7 +143,7 @@
         assert fixture.submissions._waiting == {}
 
 
-class TestKept:
+class TestNotWithdrawn:
     @pytest.mark.parametrize("tried_s", [0.0, COMMIT_OVERDUE_S])
     async def test_while_commits_are_only_slow(self, tried_s: float) -> None:
         fixture = _Fixture()
@@ -152,7 +154,7 @@
         assert await waiting
         assert fixture.job.durable
 
-    async def test_where_a_transaction_may_have_carried_it(self) -> None:
+    async def test_if_a_transaction_may_have_carried_it(self) -> None:
         fixture = _Fixture()
         waiting = await fixture.wait()
         fixture.commits.in_flight = True
@@ -161,7 +163,7 @@
         assert await waiting
         assert "a" in fixture.engine.jobs
 
-    async def test_where_it_was_cancelled_meanwhile(self) -> None:
+    async def test_if_it_was_cancelled_meanwhile(self) -> None:
         fixture = _Fixture()
         waiting = await fixture.wait()
         fixture.engine.cancel(fixture.job)
--- a/src/streamthread/holder/tests/test_wave_states.py
+++ b/src/streamthread/holder/tests/test_wave_states.py
@@ -1,6 +1,7 @@
-"""A wave's state reaches the operator though its holder ends before it is written.
+"""A wave's state is written for the operator even if its holder ends first.
 
-What is recorded for the next holder as told was only about to be written.
+The failure: a holder recorded the state as reported before it was written, so the next
+holder did not write it.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 
 
 class _Owner:
-    """A holder whose commits work, and whose way to the states may be down."""
+    """A holder with working commits, whose writes of wave states may fail."""
 
     def __init__(self, rows: dict[str, bytes], down: bool) -> None:
         self.rows = rows
