--- a/src/streamthread/holder/lease_validity.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -9,11 +9,12 @@
 __all__ = ["LeaseValidity"]
 
 VALIDITY_POLL_S = 0.02
-"""Interval at which a holder without a certain lease checks it again, about three
-commits."""
+"""Interval at which a holder whose lease is uncertain checks it again; about three
+commits take as long."""
 
 RELEASE_TIMEOUT_S = 0.3
-"""A release that takes longer counts as failed; it takes two commits of 7 ms."""
+"""After this time others may acquire the cell without the release, which takes two
+commits of 7 ms."""
 
 
 class LeaseValidity:
@@ -32,14 +33,12 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether the last confirmed commit is recent enough to exclude another
-        holder.
-        """
+        """Whether the last commit is so recent that no other daemon holds the cell."""
         times = self._times
         age_s = boot_s() - self._log.confirmed_at_s
-        slow_doubt_s = times.doubt_after_s(self._log.commit_s)
-        doubtful = self._log.is_doubtful(times.doubt_s, slow_doubt_s)
-        return age_s < self._log.term_s and not doubtful and not self._log.lost
+        slow_limit_s = times.doubt_after_s(self._log.commit_s)
+        suspect = self._log.is_doubtful(times.doubt_s, slow_limit_s)
+        return age_s < self._log.term_s and not suspect and not self._log.lost
 
     @property
     def doubtful(self) -> bool:
--- a/src/streamthread/holder/submissions.py
+++ b/src/streamthread/holder/submissions.py
@@ -15,13 +15,13 @@
 log = logbook.Logger("streamthread.holder")
 
 COMMIT_OVERDUE_S = 0.75
-"""A commit that is retried for longer probably waits for an unresponsive store: one
+"""A commit that has been tried for longer probably waits for an unresponsive store: one
 takes 0.55 s in a store that is 60 times slower. Callers' requests are forwarded for
 a second, so a refusal after this time still reaches them."""
 
 OVERDUE_COMMITS = 1.3
-"""If commits take longer than that, a commit is overdue after this many times the
-duration of recent ones."""
+"""Factor for slow commits: a commit is not overdue before it has been tried for this
+multiple of the duration of recent commits."""
 
 
 class Submissions:
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -186,18 +186,18 @@
     ) -> UpkeepPlan | None:
         """Return the next steps of a wave, or None when no machine remains."""
         progress = self._registry.progress_of(wave.number)
-        remaining = [m for m in wave.machine_ids if m not in progress.begun]
+        remaining_ids = [m for m in wave.machine_ids if m not in progress.begun]
         down = sum(self._table.is_down(m) for m in wave.machine_ids)
-        self._registry.report(progress, completed=not remaining and not down)
-        if not remaining:
+        self._registry.report(progress, completed=not remaining_ids and not down)
+        if not remaining_ids:
             return None
         remaining_s = progress.first_seen_s + wave.duration_s - time.time()
-        urgent = presses(len(remaining), wave.most_at_once, remaining_s)
-        due = tuple(self._due_machine(views[m]) for m in remaining if m in views)
+        urgent = presses(len(remaining_ids), wave.most_at_once, remaining_s)
+        due = tuple(self._due_machine(views[m]) for m in remaining_ids if m in views)
         return plan_upkeep(
             WaveView(
                 due,
-                paced_slots(len(remaining), wave.most_at_once, remaining_s) - down,
+                paced_slots(len(remaining_ids), wave.most_at_once, remaining_s) - down,
                 self._releasable(views.values(), targets, urgent),
             ),
             self._settings,
