--- a/src/streamthread/holder/tests/test_advice.py
+++ b/src/streamthread/holder/tests/test_advice.py
@@ -1,6 +1,4 @@
-"""Tickets are fetched ahead, used while they are valid, and dropped after a
-rejection.
-"""
+"""Tickets are fetched ahead, used while valid, and dropped after a rejection."""
 
 import asyncio
 import time
--- a/src/streamthread/holder/tests/test_intake.py
+++ b/src/streamthread/holder/tests/test_intake.py
@@ -146,8 +146,8 @@
         assert (await cell.ask(pb.CANCEL)).outcome == pb.UNCERTAIN
 
     async def test_reports_what_it_knows_of_an_open_job(self) -> None:
-        """The state may be outdated, but a store outage must not hide a job from its
-        caller.
+        """A store outage must not hide a job from its caller; the state may be
+        outdated.
         """
         cell = Cell()
         cell.add_job()
--- a/src/streamthread/holder/tests/test_lease_validity.py
+++ b/src/streamthread/holder/tests/test_lease_validity.py
@@ -41,8 +41,8 @@
         assert _lease(2.0).idle_head_version == HEAD_VERSION
 
     async def test_is_not_reported_while_runs_may_be_extended(self) -> None:
-        """A failed release lets others acquire the cell, but the holder still extends
-        runs.
+        """After a failed release others may acquire the cell, but runs are still
+        extended.
         """
         lease = _lease(0.0)
         lease.begin_release()
--- a/src/streamthread/holder/tests/test_submissions.py
+++ b/src/streamthread/holder/tests/test_submissions.py
@@ -110,9 +110,7 @@
 
 
 class TestLeftInTheInbox:
-    """Another daemon got no answer in time, left the job in the inbox and accepted
-    it.
-    """
+    """Another daemon got no answer in time and left the accepted job in the inbox."""
 
     async def test_is_not_withdrawn(self) -> None:
         fixture = _Fixture()
