--- a/src/streamthread/holder/duties.py
+++ b/src/streamthread/holder/duties.py
@@ -124,7 +124,7 @@
         targets: dict[str, int],
         views: dict[str, MachineView],
     ) -> None:
-        """Order moves, taking into account the orders of the waves.
+        """Order moves from the machines' state after the orders of the waves.
 
         :param views: the machines before those orders, which affect due machines only.
         """
--- a/src/streamthread/holder/machines.py
+++ b/src/streamthread/holder/machines.py
@@ -110,7 +110,7 @@
     # The list of machines.
 
     async def refresh(self) -> bool:
-        """Read the list when it is due; return whether the machines are known."""
+        """Read the list when it is due; return whether it can be relied on."""
         now_s = boot_s()
         if now_s - self._listed_at_s < self._settings.list_s:
             return bool(self.machines)
