--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -1,4 +1,4 @@
-"""What a holder looks at now and then: its commits, all runs, what has ended."""
+"""Periodic checks of the holder: its commits, all runs, and jobs that have ended."""
 
 import asyncio
 import time
@@ -16,18 +16,18 @@
 
 log = logbook.Logger("streamthread.holder")
 
-TROUBLE_POLL_S = 0.1
-"""How often we look whether commits have begun to fail, or work again."""
+COMMIT_FAILURE_POLL_S = 0.1
+"""Interval between checks whether commits have begun to fail or have recovered."""
 
-FORGET_EVERY_S = 1.0
-"""How often ended jobs are looked for."""
+FORGET_INTERVAL_S = 1.0
+"""Interval between checks for ended jobs."""
 
-WATCH_RUNS_S = 0.25
-"""How often runs are looked at: their runners tell of them every 0.8 s."""
+WATCH_RUNS_INTERVAL_S = 0.25
+"""Interval between checks of the runs; runners report on them every 0.8 s."""
 
 
 class Housekeeping:
-    """The loops of a holder that wait for time to pass, not for news."""
+    """The holder's loops that run at intervals and not on updates."""
 
     def __init__(self, owner: DutyOwner, inbox: InboxReader, intake: Intake) -> None:
         self._owner = owner
@@ -36,9 +36,9 @@
         self._inbox = inbox
 
     async def watch_runs(self) -> None:
-        """Have runs done elsewhere that lag behind or are out of reach."""
+        """Start speculative copies of runs that lag or whose runner is unreachable."""
         while True:
-            await asyncio.sleep(WATCH_RUNS_S)
+            await asyncio.sleep(WATCH_RUNS_INTERVAL_S)
             await self._owner.until_trusted()
             for link in self._owner.links.values():
                 if link.silent and self._engine.request_copies(link.runner.runner_id):
@@ -47,38 +47,39 @@
             if self._engine.handle_lagging_runs():
                 self._owner.kick()
 
-    async def hold_through_trouble(self) -> None:
-        """Extend all runs at once when commits begin to fail; refuse what waits."""
-        troubled = False
+    async def extend_while_commits_fail(self) -> None:
+        """Extend all runs as soon as commits fail; refuse overdue submissions."""
+        failing = False
         while True:
-            await asyncio.sleep(TROUBLE_POLL_S)
+            await asyncio.sleep(COMMIT_FAILURE_POLL_S)
             self._intake.refuse_overdue()
-            before, troubled = troubled, self._owner.log.is_degraded()
-            if troubled and not before and self._owner.trusted:
+            before, failing = failing, self._owner.log.is_degraded()
+            if failing and not before and self._owner.trusted:
                 log.warning("commits-fail", extra={"runners": len(self._owner.links)})
                 for link in list(self._owner.links.values()):
                     self._owner.spawn(link.extend_once())
-            elif before and not troubled:
+            elif before and not failing:
                 log.info("commits-work-again")
 
-    async def forget_at_intervals(self) -> None:
-        """Drop what has ended, and take inbox rows that waited for their route."""
+    async def forget_ended_jobs(self) -> None:
+        """Delete jobs that ended long enough ago, and retry the waiting inbox rows."""
         settings = self._owner.context.settings
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
+            await asyncio.sleep(FORGET_INTERVAL_S)
             self._inbox.retry()
             for job in self._engine.forget(time.time() - settings.forget_s):
                 self._owner.log.mark(TABLE_JOBS, job.job_id, lambda: None)
                 self._owner.log.mark(TABLE_RUNS, job.job_id, lambda: None)
 
     async def drop_orphans(self) -> None:
-        """Drop the runs on runners that were never listed here, once they have lapsed.
+        """Drop the runs on runners that were never listed here, once they have expired.
 
-        Not a moment later: a lasting task of theirs runs nowhere meanwhile.
+        This happens without delay, as a long-running task among them runs nowhere until
+        then.
         """
         bound_s = self._owner.context.settings.links.expiry_bound_s
-        lapsed_at_s = self._owner.taken.last_hold_at_s + bound_s
-        await asyncio.sleep(max(0.0, lapsed_at_s - boot_s()))
+        expired_at_s = self._owner.taken.last_hold_at_s + bound_s
+        await asyncio.sleep(max(0.0, expired_at_s - boot_s()))
         for attempt in self._engine.orphans():
             self._engine.drop_orphan(attempt)
             self._owner.kick()
--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -1,4 +1,4 @@
-"""Takes jobs and cancels, from callers and from the inbox, and tells their states."""
+"""Accepts jobs and cancels from callers and from the inbox, and reports job states."""
 
 import typing as t
 
@@ -23,54 +23,56 @@
 from ..scheduler.accounts import over_limit
 from ..unreadable import Source
 from ..unreadable import UnreadableNotes
-from .admission import AdmissionDesk
-from .handins import HandIns
+from .admission import AdmissionPolicy
 from .inbox import InboxEntry
 from .inbox import InboxOwner
 from .inbox import InboxReader
-from .kept_cancels import Cancel
-from .kept_cancels import kept_key
-from .kept_cancels import KeptCancels
+from .pending_cancels import Cancel
+from .pending_cancels import pending_cancel_key
+from .pending_cancels import PendingCancels
+from .submissions import Submissions
 
 __all__ = ["Intake"]
 
 log = logbook.Logger("streamthread.holder")
 
-STORE_COME_BACK_S = 1.0
-"""When to come back while the store is down: outages last some seconds."""
+STORE_RETRY_AFTER_S = 1.0
+"""The `retry_after_s` of refusals while the store is down; outages last some
+seconds."""
 
 
 class Intake(InboxOwner):
-    """Everything about a job that its caller sees.
+    """Handles every request of a caller about a job.
 
     :param token: the holder's fencing token, for the logs.
-    :param inbox: returns the reader of the inbox, which has the intake take its rows.
-    :param is_trusted: whether this daemon may rely on holding the cell.
-    :param may_accept: whether what is accepted now can be made durable.
-    :param accepted: called with each new job, before it is durable.
-    :param kick: has the queue looked at soon.
-    :param notes: is told of jobs that can't be read.
-    :param refused: how many hand-ins were refused for their accounts' sake, by account.
-    :param keep_cancels_s: a cancel is kept for so long while its job may still come.
+    :param inbox: returns the reader of the inbox, which passes its rows to the intake.
+    :param is_trusted: whether this daemon's lease on the cell is certainly valid.
+    :param may_accept: whether a job that is accepted now can be made durable.
+    :param on_accepted: called with each new job, before the job is durable.
+    :param kick: schedules a pass over the queue.
+    :param notes: collects reports of jobs that can't be decoded.
+    :param refused: number of submissions refused because of their account, by account.
+    :param retain_cancels_s: how long the cancel of an unknown job is retained while the
+        job may still arrive.
     """
 
     def __init__(
         self,
         engine: Engine,
         commits: CommitLog,
-        admission: AdmissionDesk,
+        admission: AdmissionPolicy,
         token: int,
         inbox: t.Callable[[], InboxReader],
         is_trusted: t.Callable[[], bool],
         may_accept: t.Callable[[], bool],
-        accepted: t.Callable[[Job], None],
+        on_accepted: t.Callable[[Job], None],
         kick: t.Callable[[], None],
-        keep_cancels_s: float,
+        retain_cancels_s: float,
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
-        # Accepted jobs of which a row can't be read.
-        self._aside: set[str] = set()
+        # Accepted jobs with a row that can't be decoded.
+        self._excluded: set[str] = set()
         self._engine = engine
         self._commits = commits
         self._admission = admission
@@ -78,23 +80,25 @@
         self._inbox = inbox
         self._is_trusted = is_trusted
         self._may_accept = may_accept
-        self._accepted = accepted
+        self._on_accepted = on_accepted
         self._kick = kick
-        self._kept = KeptCancels(keep_cancels_s)
-        self._hand_ins = HandIns(engine, commits)
+        self._pending_cancels = PendingCancels(retain_cancels_s)
+        self._submissions = Submissions(engine, commits)
         self.refused: dict[str, int] = {}
 
     # Calls.
 
     async def answer(self, request: pb.CallRequest) -> pb.CallReply:
-        """Answer a caller's request, here or passed on by a peer."""
-        account = self._admission.judge(request)
+        """Answer a caller's request that arrived here or was forwarded by a peer."""
+        account = self._admission.authorize(request)
         if account is None:
-            reason = "a newer configuration does not know the key"
+            reason = "the API key is not in the newer configuration"
             return pb.CallReply(outcome=pb.NOT_ADMITTED, reason=reason)
         request.account = account
-        if request.job_id in self._aside:
-            return pb.CallReply(outcome=pb.UNCERTAIN, reason="its row can't be read")
+        if request.job_id in self._excluded:
+            return pb.CallReply(
+                outcome=pb.UNCERTAIN, reason="the job's row can't be decoded"
+            )
         if request.kind == pb.PENDING:
             count = self._engine.pending_count(request.route)
             return pb.CallReply(outcome=pb.OK, pending=count)
@@ -103,15 +107,16 @@
                 return await self._submit(request)
             if request.kind == pb.CANCEL:
                 return await self._cancel(request)
-            return await self._tell_state(request)
+            return await self._report_state(request)
         except (NotHolderError, StoreUnavailableError, OutcomeUnknownError):
-            # Another daemon may know more, or have taken what we did not commit.
+            # Another daemon may know more, or may have accepted the job that this one
+            # did not commit.
             return pb.CallReply(outcome=pb.UNCERTAIN)
 
     async def _find(self, job_id: str) -> Job | None:
-        """Return a job; look into the inbox before saying that there is none.
+        """Return a job; read the inbox before reporting that there is none.
 
-        An outage of the store is waited for by the commits, which are tried anyway.
+        The commits, which are retried anyway, wait for the end of a store outage.
 
         :raises NotHolderError: the cell is lost.
         :raises StoreUnavailableError: the inbox can't be read.
@@ -127,90 +132,91 @@
 
     # States.
 
-    async def _tell_state(self, request: pb.CallRequest) -> pb.CallReply:
-        """Tell a state as it is known here.
+    async def _report_state(self, request: pb.CallRequest) -> pb.CallReply:
+        """Report a state as it is known here.
 
-        A holder that doubts itself tells it, too, so that an outage of the store hides
-        no job: what it says of an open job may be old, and an end stays so.
+        A holder whose lease may have expired reports it too, so that an outage of the
+        store hides no job. The state of an open job may then be outdated; the state of
+        an ended job is final.
         """
         job_id = request.job_id
         job = await self._find(job_id)
         if job is None:
-            # The next holder takes jobs out of the inbox that we would miss there.
+            # A next holder may have removed jobs from the inbox that are unknown here.
             await self._commits.confirmed()
             job = self._engine.jobs.get(job_id)
         if job is None:
-            return self._tell_waiting(request)
-        if not self._is_meant(job, request):
+            return self._report_waiting(request)
+        if not self._refers_to(job, request):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         await self._until_durable(job)
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
-    def _is_meant(self, job: Job, request: pb.CallRequest) -> bool:
-        """Whether a call means a job of the id that it names."""
-        return self._admission.is_meant(job, request.route, request.account)
+    def _refers_to(self, job: Job, request: pb.CallRequest) -> bool:
+        """Whether a request refers to the job that has the request's job id."""
+        return self._admission.refers_to(job, request.route, request.account)
 
-    def _tell_waiting(self, request: pb.CallRequest) -> pb.CallReply:
-        """Tell of a job that waits in the inbox for its route, if there is one."""
-        if not self._inbox().waits(request.job_id, request.account):
+    def _report_waiting(self, request: pb.CallRequest) -> pb.CallReply:
+        """Report the state of a job that waits in the inbox for its route."""
+        if not self._inbox().has_waiting_job(request.job_id, request.account):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         cancelled = any(
             may_see(cancel.account, request.account)
-            for cancel in self._kept.of_job(request.job_id)
+            for cancel in self._pending_cancels.of_job(request.job_id)
         )
         state = JobState.CANCELLED if cancelled else JobState.PENDING
         return pb.CallReply(outcome=pb.OK, state=state.value)
 
     async def _until_durable(self, job: Job) -> None:
-        """Return once a job, and its end if it has ended, are durable.
+        """Wait until a job, and its end if it has ended, are durable.
 
         :raises NotHolderError: the cell is lost.
-        :raises OutcomeUnknownError: the job is not kept.
+        :raises OutcomeUnknownError: the job was withdrawn and is not persisted.
         """
-        if not await self._hand_ins.until_kept(job):
+        if not await self._submissions.until_durable(job):
             raise OutcomeUnknownError(
-                "the job was taken back", remedy="hand it in again"
+                "the job was withdrawn before it was durable", remedy="submit it again"
             )
         while job.over and self._commits.is_marked(TABLE_RUNS, job.job_id):
             await self._commits.flushed()
 
-    # Hand-ins.
+    # Submissions.
 
     async def _submit(self, request: pb.CallRequest) -> pb.CallReply:
         job = self._engine.jobs.get(request.job_id)
         if job is None:
-            refusal = await self._until_may_take()
+            refusal = await self._until_may_accept()
             if refusal is not None:
                 return refusal
-            found = self._engine.jobs.get(request.job_id) or self._take(request)
+            found = self._engine.jobs.get(request.job_id) or self._submit_new(request)
             if isinstance(found, pb.CallReply):
                 return found
             job = found
         if not may_see(request.account, job.account):
-            # The id is taken; who took it is told to nobody else.
+            # The id belongs to another account's job, which stays hidden.
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
-        if not await self._hand_ins.until_kept(job):
-            return _refuse("the store does not take commits")
+        if not await self._submissions.until_durable(job):
+            return _refuse("the store does not accept commits")
         await self._until_durable(job)
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
-    async def _until_may_take(self) -> pb.CallReply | None:
-        """Return None once a new job may be taken, else a refusal.
+    async def _until_may_accept(self) -> pb.CallReply | None:
+        """Return None once a new job may be accepted, or a refusal.
 
-        The inbox may hold the cancel of a job that is handed in once more.
+        The inbox may contain the cancel of a job that is being submitted again.
         """
         if not self._may_accept():
-            return _refuse("the store does not take commits")
+            return _refuse("the store does not accept commits")
         if not self._inbox().behind:
             return None
         try:
             await self._inbox().catch_up()
         except (StoreUnavailableError, OutcomeUnknownError):
-            return _refuse("the store does not give the inbox")
+            return _refuse("the store does not return the inbox")
         return None
 
-    def _take(self, request: pb.CallRequest) -> Job | pb.CallReply:
-        """Take a new job, or say why not."""
+    def _submit_new(self, request: pb.CallRequest) -> Job | pb.CallReply:
+        """Accept a new job, or return the reason for a refusal."""
         route = self._admission.route(request.route)
         version, account = request.configuration_version, request.account
         if self._admission.is_behind(route, version, request.pool, account):
@@ -223,13 +229,13 @@
             return pb.CallReply(outcome=pb.REFUSED, reason=str(error))
         refusal = over_limit(job, self._admission.limit_of(account))
         if refusal:
-            return self._refuse_account(account, refusal)
+            return self._refuse_for_account(account, refusal)
         return self._accept(job)
 
     def _accept(self, job: Job) -> Job:
-        """Take a job; it may be acknowledged once it is durable.
+        """Accept a job; it may be acknowledged once it is durable.
 
-        Nothing of it starts where its cancel has come before it.
+        If its cancel arrived before it, none of its tasks start.
         """
         job_id = job.job_id
         self._engine.add(job)
@@ -245,22 +251,22 @@
                 "token": self._token,
             },
         )
-        cancels = self._kept.of_job(job_id)
-        self._kept.forget_job(job_id)
+        cancels = self._pending_cancels.of_job(job_id)
+        self._pending_cancels.forget_job(job_id)
         if any(self._admission.covers(cancel, job) for cancel in cancels):
             self._cancel_now(job, "kept")
         else:
-            self._accepted(job)
+            self._on_accepted(job)
         return job
 
-    def _refuse_account(self, account: str, reason: str) -> pb.CallReply:
-        """Refuse a hand-in for a reason that lies with its account."""
+    def _refuse_for_account(self, account: str, reason: str) -> pb.CallReply:
+        """Refuse a submission for a reason that concerns its account."""
         self.refused[account] = self.refused.get(account, 0) + 1
         return pb.CallReply(outcome=pb.REFUSED, reason=reason)
 
     def refuse_overdue(self) -> None:
-        """Refuse the hand-ins that wait for commits which hang, where that is true."""
-        self._hand_ins.take_back_if_overdue(self._may_accept())
+        """Refuse submissions whose commits are overdue, if they can be withdrawn."""
+        self._submissions.withdraw_if_overdue(self._may_accept())
 
     # Cancels.
 
@@ -268,7 +274,7 @@
         job = await self._find(request.job_id)
         if job is None:
             return await self._cancel_unknown(request)
-        if not self._is_meant(job, request):
+        if not self._refers_to(job, request):
             return pb.CallReply(outcome=pb.UNKNOWN_JOB)
         if not job.over:
             self._cancel_now(job, "call")
@@ -278,24 +284,21 @@
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     async def _cancel_unknown(self, request: pb.CallRequest) -> pb.CallReply:
-        """Confirm a cancel that finds no job, once it will find one that comes.
-
-        The commit that keeps it began after the inbox was read: had another daemon
-        taken the job from there, it would fail.
-        """
+        """Acknowledge an unknown job's cancel once it applies to later submissions."""
         job_id = request.job_id
-        self._tell_no_job(job_id, "call")
+        self._log_unknown_job(job_id, "call")
         cancel = Cancel(job_id, request.route, request.account)
-        self._kept.keep(cancel)
+        self._pending_cancels.add(cancel)
         row = InboxEntry(job_id, request.route, account=request.account).encode()
-        self._commits.mark(TABLE_INBOX, kept_key(cancel), lambda: row)
+        self._commits.mark(TABLE_INBOX, pending_cancel_key(cancel), lambda: row)
         await self._commits.flushed()
-        return self._tell_waiting(request)
+        return self._report_waiting(request)
 
-    def _cancel_now(self, job: Job, came_by: str) -> None:
+    def _cancel_now(self, job: Job, source: str) -> None:
         """Cancel a job; the cancel is not durable yet.
 
-        :param came_by: a call, the inbox, or kept since before the job came.
+        :param source: "call", "inbox", or "kept" for a cancel that arrived before the
+            job.
         """
         runs = sum(1 for _ in job.attempts())
         self._engine.cancel(job)
@@ -303,38 +306,38 @@
             "job-cancelled",
             extra={
                 "job": job.job_id,
-                "by": came_by,
+                "by": source,
                 "runs": runs,
                 "token": self._token,
             },
         )
         self._kick()
 
-    def _tell_no_job(self, job_id: str, came_by: str) -> None:
-        """Log that a cancel finds nothing, and is kept."""
+    def _log_unknown_job(self, job_id: str, source: str) -> None:
+        """Log that a cancel finds no job and is retained."""
         log.info(
             "cancel-without-job",
-            extra={"job": job_id, "by": came_by, "token": self._token},
+            extra={"job": job_id, "by": source, "token": self._token},
         )
 
-    # Jobs that can't be read.
+    # Jobs that can't be decoded.
 
-    def keep_aside(self, job_id: str, error: BadInputError) -> None:
-        """Leave a job alone of which a row can't be read; a caller was told it is kept.
+    def exclude_job(self, job_id: str, error: BadInputError) -> None:
+        """Exclude an acknowledged job, one of whose rows can't be decoded.
 
-        Its rows stay as they are, for a daemon that can read them. Until then nothing
-        of it is started or stopped here, and callers are told neither that there is
-        none nor that it was not taken.
+        Its rows stay unchanged for a daemon that can decode them. Until then this
+        daemon neither starts nor stops any of the job's tasks, and tells callers
+        neither that the job does not exist nor that it was not accepted.
         """
-        if job_id not in self._aside:
+        if job_id not in self._excluded:
             log.error("job-kept-aside", extra={"job": job_id, "why": str(error)})
-        self._aside.add(job_id)
+        self._excluded.add(job_id)
         if isinstance(error, UnreadableError):
             self._notes.note(Source.CELL_ROW, error)
 
-    def is_aside(self, job_id: str) -> bool:
-        """Whether a job is left alone since a row of it can't be read."""
-        return job_id in self._aside
+    def is_excluded(self, job_id: str) -> bool:
+        """Whether a job is excluded because one of its rows can't be decoded."""
+        return job_id in self._excluded
 
     # The inbox.
 
@@ -342,13 +345,15 @@
         """Whether a job is known, whatever its state."""
         return job_id in self._engine.jobs
 
-    def keep_known(self, job_id: str) -> None:
-        """Refuse a job no more that another daemon has acknowledged."""
+    def mark_acknowledged(self, job_id: str) -> None:
+        """Note that another daemon has acknowledged a job, which is then never
+        refused.
+        """
         self._engine.jobs[job_id].left_in_inbox = True
 
-    def accept_left(self, entry: InboxEntry) -> bool:
-        """Take a job; return False where the configuration has not come here yet."""
-        if self.is_aside(entry.job_id):
+    def accept_from_inbox(self, entry: InboxEntry) -> bool:
+        """Accept a job; return False if its configuration is not known here yet."""
+        if self.is_excluded(entry.job_id):
             return False
         route = self._admission.route(entry.route)
         behind = self._admission.is_behind(
@@ -369,34 +374,34 @@
             )
         return True
 
-    def cancel_left(self, cancel: Cancel) -> None:
-        """Cancel a job that is known, where the cancel means it."""
+    def cancel_from_inbox(self, cancel: Cancel) -> None:
+        """Cancel a known job if the cancel applies to it."""
         job = self._engine.jobs[cancel.job_id]
-        self._kept.forget(cancel)
+        self._pending_cancels.forget(cancel)
         if not job.over and self._admission.covers(cancel, job):
             self._cancel_now(job, "inbox")
 
-    def keep_cancel(self, cancel: Cancel, may_come: bool) -> bool:
-        """Keep a cancel of a job that is not known; return whether its row is needed.
+    def retain_cancel(self, cancel: Cancel, may_arrive: bool) -> bool:
+        """Retain the cancel of an unknown job; return whether its row is still needed.
 
-        :param may_come: whether the job is sure to be able to come yet.
+        :param may_arrive: whether the job is known to wait for its route.
         """
-        if not self._kept.knows(cancel):
-            self._tell_no_job(cancel.job_id, "inbox")
-            self._kept.keep(cancel)
-        elif may_come:
-            self._kept.keep(cancel)
-        if self._kept.covers(cancel):
+        if not self._pending_cancels.knows(cancel):
+            self._log_unknown_job(cancel.job_id, "inbox")
+            self._pending_cancels.add(cancel)
+        elif may_arrive:
+            self._pending_cancels.add(cancel)
+        if self._pending_cancels.covers(cancel):
             return True
-        self._kept.forget(cancel)
+        self._pending_cancels.forget(cancel)
         return False
 
-    def drop_left(self, key: str) -> None:
-        """Have a row removed from the inbox."""
+    def delete_row(self, key: str) -> None:
+        """Delete a row from the inbox."""
         self._commits.mark(TABLE_INBOX, key, lambda: None)
 
 
 def _refuse(reason: str) -> pb.CallReply:
     return pb.CallReply(
-        outcome=pb.REFUSED, reason=reason, retry_after_s=STORE_COME_BACK_S
+        outcome=pb.REFUSED, reason=reason, retry_after_s=STORE_RETRY_AFTER_S
     )
--- /dev/null
+++ b/src/streamthread/holder/lease_validity.py
@@ -0,0 +1,85 @@
+"""Whether the holder's lease on the cell is certainly valid, and what that permits."""
+
+import asyncio
+
+from ..cell import CommitLog
+from ..cell import LeaseTimes
+from ..clocks import boot_s
+
+__all__ = ["LeaseValidity"]
+
+VALIDITY_POLL_S = 0.02
+"""Interval at which a holder whose lease is uncertain checks it again; about three
+commits take as long."""
+
+RELEASE_TIMEOUT_S = 0.3
+"""After this time others may acquire the cell without the release, which takes two
+commits of 7 ms."""
+
+
+class LeaseValidity:
+    """Derives the validity of the lease from the last confirmed commit.
+
+    :param most_hold_s: the longest time for which runners accept an extension.
+    :param releasing: the cell is being released; no new orders are sent.
+    """
+
+    def __init__(self, log: CommitLog, times: LeaseTimes, most_hold_s: float) -> None:
+        self._log = log
+        self._times = times
+        self._most_hold_s = most_hold_s
+        self._release_began_at_s = 0.0
+        self.releasing = False
+
+    @property
+    def trusted(self) -> bool:
+        """Whether the last commit is so recent that no other daemon holds the cell."""
+        times = self._times
+        age_s = boot_s() - self._log.confirmed_at_s
+        slow_limit_s = times.suspect_after_s(self._log.commit_s)
+        suspect = self._log.is_commit_overdue(times.doubt_s, slow_limit_s)
+        return age_s < self._log.term_s and not suspect and not self._log.lost
+
+    @property
+    def doubtful(self) -> bool:
+        """Whether others may acquire the cell, as commits or a release are overdue."""
+        if not self.trusted:
+            return True
+        return (
+            self.releasing and boot_s() - self._release_began_at_s > RELEASE_TIMEOUT_S
+        )
+
+    @property
+    def idle_head_version(self) -> int:
+        """The head row's version if nothing is ordered until that row changes, or 0.
+
+        It is 0 for a holder with a valid lease, which extends runs even while it waits
+        for its release.
+        """
+        return 0 if self.trusted else self._log.head_version
+
+    def begin_release(self) -> None:
+        """Send no new orders, as the cell is about to be released."""
+        self.releasing = True
+        self._release_began_at_s = boot_s()
+
+    async def until_trusted(self) -> None:
+        """Wait until this daemon's lease on the cell is certainly valid."""
+        while not self.trusted:
+            await asyncio.sleep(VALIDITY_POLL_S)
+
+    def may_accept(self) -> bool:
+        """Whether a job that is accepted now will probably be durable soon."""
+        return self.trusted and self._log.failing_since_s is None
+
+    def may_extend_s(self, wanted_s: float) -> float:
+        """Return for how long runs may be extended now; 0 means not at all.
+
+        While commits fail, runs are extended by the longest time that the runners
+        accept, so that they survive an outage of the store.
+        """
+        if not self.trusted:
+            return 0.0
+        if self._log.is_degraded():
+            return self._most_hold_s
+        return wanted_s
--- a/src/streamthread/holder/lasting.py
+++ b/src/streamthread/holder/long_running.py
@@ -1,4 +1,4 @@
-"""Moves lasting tasks off a runner whose machine goes into upkeep."""
+"""Moves long-running tasks off a runner whose machine goes into upkeep."""
 
 import typing as t
 
@@ -12,18 +12,18 @@
 from ..upkeep.plan import count_unavailable
 from ..upkeep.plan import may_stop_long_running
 
-__all__ = ["LastingTasks"]
+__all__ = ["LongRunningTasks"]
 
 log = logbook.Logger("streamthread.duties")
 
-AT_WORK_PERCENT = 100.0
-"""A lasting task is at work when its runner says so much."""
+WORKING_PERCENT = 100.0
+"""A long-running task counts as working when its runner reports this progress."""
 
 
-class LastingTasks:
-    """Stops lasting tasks, as far as their steps can miss one more.
+class LongRunningTasks:
+    """Stops long-running tasks as far as their steps can do without one more.
 
-    :param kick: has the queue looked at soon, so that the stops are sent.
+    :param kick: schedules a pass over the queue, which sends the stops.
     """
 
     def __init__(self, engine: Engine, kick: t.Callable[[], None]) -> None:
@@ -31,13 +31,13 @@
         self._kick = kick
 
     def move_away(self, runner: RunnerState) -> None:
-        """Stop the lasting tasks on a runner that may be missed now."""
+        """Stop a runner's long-running tasks that their steps can do without now."""
         for attempt in list(runner.attempts.values()):
             step = attempt.task.step
             if not step.request.lasting or attempt.phase is not Phase.CONFIRMED:
                 continue
-            away = self._others_away(step, attempt)
-            if may_stop_long_running(away, step.request.may_miss):
+            unavailable = self._count_unavailable(step, attempt)
+            if may_stop_long_running(unavailable, step.request.may_miss):
                 log.info(
                     "lasting-task-moved",
                     extra={"task": attempt.task.name, "runner": runner.runner_id},
@@ -45,16 +45,16 @@
                 self._engine.stop(attempt, "upkeep")
                 self._kick()
 
-    def _others_away(self, step: StepRun, attempt: Attempt) -> int:
-        """Return how many other tasks of a step are not surely at work."""
+    def _count_unavailable(self, step: StepRun, attempt: Attempt) -> int:
+        """Return how many other tasks of a step are not known to be working."""
         others = (task for task in step.tasks if task is not attempt.task)
         return count_unavailable(
-            any(self._is_at_work(a) for a in task.attempts) for task in others
+            any(self._is_working(a) for a in task.attempts) for task in others
         )
 
-    def _is_at_work(self, attempt: Attempt) -> bool:
-        """What a runner said last counts only while it still answers."""
+    def _is_working(self, attempt: Attempt) -> bool:
+        """Whether a run is working; a report counts only while its runner answers."""
         runner = self._engine.runners.get(attempt.runner_id)
         if runner is None or not runner.ready:
             return False
-        return attempt.phase is Phase.CONFIRMED and attempt.percent >= AT_WORK_PERCENT
+        return attempt.phase is Phase.CONFIRMED and attempt.percent >= WORKING_PERCENT
--- a/src/streamthread/holder/runner_desk.py
+++ b/src/streamthread/holder/runner_manager.py
@@ -1,4 +1,4 @@
-"""What a holder does as runners come, tell what runs there, fall silent and go."""
+"""Manages the links to runners: listing, reported runs, restarts, silence and exits."""
 
 from abc import abstractmethod
 
@@ -17,20 +17,20 @@
 from ..scheduler.model import job_id_of_task
 from ..scheduler.orders import OrderSender
 from ..sharing import plan_paces
-from .listing import ListedRunners
+from .listing import RunnerListHandler
 from .owner import DutyOwner
 from .queue import QueueLoop
 
-__all__ = ["RunnerDesk", "RunnerDeskOwner"]
+__all__ = ["RunnerManager", "RunnerManagerOwner"]
 
 log = logbook.Logger("streamthread.holder")
 
 
-class RunnerDeskOwner(DutyOwner):
-    """The holder, as its runners' desk sees it.
+class RunnerManagerOwner(DutyOwner):
+    """What the runner manager needs from the holder.
 
     :param sender: sends orders to runners.
-    :param queue: is looked at once something has changed.
+    :param queue: runs a scheduling pass when something has changed.
     """
 
     sender: OrderSender
@@ -38,32 +38,32 @@
 
     @abstractmethod
     def may_extend_s(self, wanted_s: float) -> float:
-        """Return for how long runs may be extended now; 0: not at all."""
+        """Return for how long runs may be extended now; 0 means not at all."""
 
     @abstractmethod
     def forget_tickets(self, runner_id: str) -> None:
-        """Use no ticket more for a life of a runner that is over."""
+        """Discard the tickets for a runner incarnation that has exited."""
 
     @abstractmethod
-    def is_aside(self, job_id: str) -> bool:
-        """Whether a job is left alone since a row of it can't be read."""
+    def is_excluded(self, job_id: str) -> bool:
+        """Whether a job is excluded because one of its rows can't be decoded."""
 
     @abstractmethod
     def on_fenced(self, link: RunnerLink) -> None:
-        """Learn that a runner has seen a higher fencing token."""
+        """Handle a runner's report that it has seen a higher fencing token."""
 
 
-class RunnerDesk(LinkOwner, ListedRunners):
-    """Keeps a link to each listed runner, and takes what the links tell."""
+class RunnerManager(LinkOwner, RunnerListHandler):
+    """Keeps a link to each listed runner, and handles what the links report."""
 
-    def __init__(self, owner: RunnerDeskOwner) -> None:
+    def __init__(self, owner: RunnerManagerOwner) -> None:
         self.token = owner.token
         self._owner = owner
         self._engine = owner.engine
         self._batching = EndBatching(owner.engine.runners.values)
 
     def add_runner(self, entry: RunnerEntry) -> None:
-        """Take a runner that the list shows; it is held from now on."""
+        """Open a link to a runner that is listed and has none yet."""
         runner = RunnerState.from_entry(entry)
         self._engine.add_runner(runner)
         log.info(
@@ -75,16 +75,16 @@
                 "draining": entry.draining,
             },
         )
-        self._hold(runner, self._owner.taken.last_hold_at_s)
+        self._open_link(runner, self._owner.taken.last_hold_at_s)
 
     def restart_runner(self, link: RunnerLink, entry: RunnerEntry) -> None:
-        """Take the entry of the life that follows the one which is held."""
+        """Replace a runner's link, given the entry of the runner's next incarnation."""
         self._restart(link, RunnerState.from_entry(entry), listed=True)
 
     def on_restarted(self, link: RunnerLink, born_ms: int) -> None:
-        """Learn that the next life of the runner answers, under its id.
+        """Handle an answer of the runner's next incarnation under the same id.
 
-        It gets nothing before its entry tells what it is: it may have less room.
+        It receives nothing until its entry is known, as it may have less capacity.
         """
         self._restart(link, link.runner.next_incarnation(born_ms), listed=False)
 
@@ -92,12 +92,13 @@
         link.over = True
         self._engine.runner_restarted(link.runner, after)
         self._owner.forget_tickets(after.runner_id)
-        # An order with a deadline by the former life's clock may have come to this one.
+        # This incarnation may have received an order whose deadline refers to the clock
+        # of the previous one.
         former_clock_margin_s = self._owner.context.settings.links.former_clock_margin_s
-        self._hold(after, boot_s() + former_clock_margin_s, listed)
+        self._open_link(after, boot_s() + former_clock_margin_s, listed)
         self._owner.kick()
 
-    def _hold(
+    def _open_link(
         self, runner: RunnerState, last_hold_at_s: float, listed: bool = True
     ) -> None:
         context = self._owner.context
@@ -110,13 +111,13 @@
             listed,
         )
         self._owner.links[runner.runner_id] = link
-        # One runner's odd answers are no reason to hand the cell over.
-        keeper = LoopKeeper(context.failures, (NotHolderError,))
-        self._owner.spawn(keeper.keep("link", link.run))
-        self._send_again(runner)
+        # Failures that one runner's answers cause don't release the cell.
+        supervisor = LoopKeeper(context.failures, (NotHolderError,))
+        self._owner.spawn(supervisor.keep("link", link.run))
+        self._resend_orders(runner)
 
-    def _send_again(self, runner: RunnerState) -> None:
-        """Have the orders answered that an earlier holder recorded."""
+    def _resend_orders(self, runner: RunnerState) -> None:
+        """Send the unanswered orders of an earlier holder again."""
         sender = self._owner.sender
         for attempt in list(runner.attempts.values()):
             if attempt.phase is Phase.SENT:
@@ -125,14 +126,17 @@
                 self._owner.spawn(sender.stop(attempt))
 
     def may_extend_s(self, wanted_s: float) -> float:
-        """Return for how long runs may be extended now; 0: not at all."""
+        """Return for how long runs may be extended now; 0 means not at all."""
         return self._owner.may_extend_s(wanted_s)
 
     async def on_hold_reply(self, link: RunnerLink, reply: HoldReply) -> None:
-        """Take a runner's lists; return once the ends are durable."""
+        """Handle the reply to a hold call; return once the reported ends are durable.
+
+        A hold call renews the leases of a runner's runs and returns what has ended.
+        """
         sender = self._owner.sender
         for stray in self._engine.on_hold(link.runner, reply):
-            if not self._owner.is_aside(job_id_of_task(stray.task)):
+            if not self._owner.is_excluded(job_id_of_task(stray.task)):
                 self._owner.spawn(sender.stop_stray(stray))
         for order in plan_paces(link.runner, self._owner.context.settings.sharing):
             self._owner.spawn(sender.pace(order.attempt, order.percent))
@@ -140,11 +144,11 @@
             self._owner.kick()
         if not reply.ended:
             return
-        self._owner.queue.look_soon()
+        self._owner.queue.run_pass_soon()
         await self._owner.log.flushed()
 
     def pause_after_ends_s(self) -> float:
-        """Return for how long a runner that told ends is left alone."""
+        """Return the pause before a runner that reported ends is called again."""
         return self._batching.pause_s()
 
     def on_ready(self, link: RunnerLink) -> None:
@@ -152,14 +156,14 @@
         self._owner.kick()
 
     def on_runner_exit(self, link: RunnerLink, why: str) -> None:
-        """Learn that this life of the runner has ended."""
+        """Handle the exit of this runner incarnation."""
         self._owner.on_runner_exit(link, why)
 
     def on_all_expired(self, link: RunnerLink) -> None:
-        """Learn that all runs there have surely lapsed."""
+        """Handle the certain expiry of all runs on an unreachable runner."""
         self._engine.attempts_expired(link.runner.runner_id, "out of reach")
         self._owner.kick()
 
     def on_fenced(self, link: RunnerLink) -> None:
-        """Learn that the runner has seen a higher fencing token."""
+        """Handle the runner's report that it has seen a higher fencing token."""
         self._owner.on_fenced(link)
--- a/src/streamthread/holder/handins.py
+++ b/src/streamthread/holder/submissions.py
@@ -1,4 +1,4 @@
-"""New jobs that are not durable yet, and the calls that wait until they are."""
+"""New jobs that are not durable yet, and the calls that wait for them."""
 
 import asyncio
 
@@ -10,57 +10,58 @@
 from ..scheduler import Engine
 from ..scheduler import Job
 
-__all__ = ["HandIns"]
+__all__ = ["Submissions"]
 
 log = logbook.Logger("streamthread.holder")
 
 COMMIT_OVERDUE_S = 0.75
-"""A commit that is tried for longer most likely waits for a store that is silent: one
-takes 0.55 s in a store 60 times slower. Callers' calls are passed on for a second, so
-that a refusal after this time still reaches them."""
+"""A commit that has been tried for longer probably waits for an unresponsive store: one
+takes 0.55 s in a store that is 60 times slower. Callers' requests are forwarded for
+a second, so a refusal after this time still reaches them."""
 
 OVERDUE_COMMITS = 1.3
-"""Where commits take longer than that, so many times as long as they took lately."""
+"""Factor for slow commits: a commit is not overdue before it has been tried for this
+multiple of the duration of recent commits."""
 
 
-class HandIns:
-    """Takes new jobs back, while no transaction has carried them.
+class Submissions:
+    """Withdraws new jobs that no transaction has carried to the store.
 
-    A store that falls silent shows by its answers alone, and a caller that hands a job
-    in meanwhile would wait for its whole time limit, to be told that nobody knows. Of a
-    job that waits for the commit after the one that hangs, nothing has left this
-    process: it can be refused, truly, and its caller told when to come back.
+    An unresponsive store is only noticed by its missing answers. A caller that submits
+    a job meanwhile would wait for its whole time limit and then get an unknown outcome.
+    A job that waits for the commit after the hanging one has not left this process, so
+    it can be refused safely, and its caller told when to retry.
     """
 
     def __init__(self, engine: Engine, commits: CommitLog) -> None:
         self._engine = engine
         self._commits = commits
-        # What ends the waiting of a job's callers once it is taken back.
+        # Jobs with a future that is resolved when the job is withdrawn.
         self._waiting: dict[str, tuple[Job, asyncio.Future[None]]] = {}
 
-    async def until_kept(self, job: Job) -> bool:
-        """Return whether a job is durable; False: it was taken back, and never runs.
+    async def until_durable(self, job: Job) -> bool:
+        """Wait until a job is durable; return False if it was withdrawn and never runs.
 
         :raises NotHolderError: the cell is lost; the job may be durable.
         """
         if job.durable:
             return True
-        taken_back = self._end_of_waiting(job)
+        withdrawn = self._withdrawal_of(job)
         written = asyncio.ensure_future(self._commits.written(TABLE_JOBS, job.job_id))
         try:
             await asyncio.wait(
-                (written, taken_back), return_when=asyncio.FIRST_COMPLETED
+                (written, withdrawn), return_when=asyncio.FIRST_COMPLETED
             )
-            if taken_back.done():
+            if withdrawn.done():
                 return False
             await written
             job.durable = True
             return True
         finally:
             written.cancel()
-            self._settle(job)
+            self._forget_if_written(job)
 
-    def _end_of_waiting(self, job: Job) -> "asyncio.Future[None]":
+    def _withdrawal_of(self, job: Job) -> "asyncio.Future[None]":
         known = self._waiting.get(job.job_id)
         if known is not None and known[0] is job:
             return known[1]
@@ -68,43 +69,45 @@
         self._waiting[job.job_id] = (job, future)
         return future
 
-    def _settle(self, job: Job) -> None:
-        """Forget a job whose row is written, whoever waited for that."""
+    def _forget_if_written(self, job: Job) -> None:
+        """Stop tracking a job once its row is written."""
         known = self._waiting.get(job.job_id)
         if known is None or known[0] is not job:
             return
         if not self._commits.is_marked(TABLE_JOBS, job.job_id):
             del self._waiting[job.job_id]
 
-    def take_back_if_overdue(self, may_accept: bool) -> int:
-        """Take back what no transaction has carried, if commits hang.
+    def withdraw_if_overdue(self, may_accept: bool) -> int:
+        """Withdraw the jobs that no transaction has carried, if commits are overdue.
 
         :param may_accept: whether new jobs are accepted now.
-        :return: how many jobs were taken back.
+        :return: how many jobs were withdrawn.
         """
-        # Those whose callers gave up before the row was written.
+        # Includes jobs whose callers gave up before the row was written.
         for job, _ in list(self._waiting.values()):
-            self._settle(job)
+            self._forget_if_written(job)
         overdue_s = max(COMMIT_OVERDUE_S, OVERDUE_COMMITS * self._commits.commit_s)
         if may_accept and self._commits.tried_for_s() <= overdue_s:
             return 0
-        taken = [job_id for job_id in list(self._waiting) if self._take_back(job_id)]
-        if taken:
+        withdrawn_ids = [
+            job_id for job_id in list(self._waiting) if self._withdraw(job_id)
+        ]
+        if withdrawn_ids:
             log.warning(
                 "hand-ins-taken-back",
                 extra={
-                    "jobs": taken,
+                    "jobs": withdrawn_ids,
                     "tried_for_s": round(self._commits.tried_for_s(), 3),
                 },
             )
-        return len(taken)
+        return len(withdrawn_ids)
 
-    def _take_back(self, job_id: str) -> bool:
+    def _withdraw(self, job_id: str) -> bool:
         job, future = self._waiting[job_id]
         if job.durable or job.over or future.done():
             return False
         if job.left_in_inbox:
-            # Its row there goes with the next commit: this is all there is of it.
+            # The next commit deletes its inbox row; then only this holder has the job.
             return False
         if not self._commits.unmark(TABLE_JOBS, job_id):
             return False
--- a/src/streamthread/holder/tests/test_turns.py
+++ b/src/streamthread/holder/tests/test_rotating_demand.py
@@ -1,12 +1,13 @@
-"""Demand that rises and falls by turns, one pool after the other.
-
-Each pool in its time is asked for five times its mean for some seconds, which is more
-than it holds, and for a twentieth in between (the users' pages). The real decisions,
-sizes and moves, are driven in virtual time; a move takes 1.5 s. Asked of them: a pool
-has most of what its turn needs 2.5 s after it began (its size is known after 0.5 s,
-then come the moves; what the pool before it has needed lately is kept from the spare
-pool alone), has given it up 4 s after the next turn began, and few more machines move
-than twice what the turns need.
+"""Demand that rises and falls in turns, one pool after the other.
+
+In its turn, each pool gets five times its mean demand for some seconds, which is more
+than it holds, and a twentieth in between (specified in the users' pages). The test
+drives the real decisions on sizes and moves in virtual time; a move takes 1.5 s.
+
+It requires that a pool has most of what its turn needs 2.5 s after the turn began: its
+size is known after 0.5 s, then the moves follow, and what the previous pool needed
+recently is withheld from the spare pool only. The pool must have given it up 4 s after
+the next turn began, and few more machines may move than twice what the turns need.
 """
 
 import math
@@ -28,11 +29,11 @@
 SETTINGS = CapacitySettings()
 POOLS = ("one", "two", "three")
 CPU = 16_000
-EACH = 6
-"""Machines of each pool; as many are spare."""
+MACHINES_PER_POOL = 6
+"""Machines of each pool, and of the spare pool."""
 
 MEAN_MACHINES = 2.0
-"""What a pool's mean demand keeps busy: in its turn ten, of the six that it holds."""
+"""Machines that a pool's mean demand uses: ten in its turn, of the six it holds."""
 
 JOB_WORK = 8_000.0
 """Thousandths of a core times seconds: half a machine for a second."""
@@ -40,8 +41,9 @@
 TURN_S = 6.0
 GROWN_S = 2.5
 SETTLED_S = 4.0
-MOST_MOVES = 2.5
-"""Times the machines that a turn needs; 2.1 in the worst of these seeds."""
+MAX_MOVES_FACTOR = 2.5
+"""Limit on the moves, as a multiple of the machines that a turn needs; the worst of
+these seeds has 2.1."""
 
 IN_TURN = 5.0
 OUT_OF_TURN = 0.05
@@ -58,7 +60,7 @@
 
 
 class _Fleet:
-    """Pools whose machines follow the moves that are decided."""
+    """Pools whose machines follow the decided moves."""
 
     def __init__(self, patch: pytest.MonkeyPatch, seed: int) -> None:
         self.now_s = 100.0
@@ -70,7 +72,7 @@
         self.machines = [
             _Machine(f"m-{pool}-{number}", pool)
             for pool in (*POOLS, "spare")
-            for number in range(EACH)
+            for number in range(MACHINES_PER_POOL)
         ]
 
     def time(self) -> float:
@@ -80,7 +82,7 @@
         return sum(m.pool == pool and m.ready_at_s <= self.now_s for m in self.machines)
 
     def play(self, for_s: float, in_turn: str) -> None:
-        """Let demand come for a while, most of it to one pool."""
+        """Let demand arrive for some time, most of it at one pool."""
         end_s = self.now_s + for_s
         while self.now_s < end_s:
             self.now_s += STEP_S
@@ -92,15 +94,17 @@
     def _arrive(self, pool: str, jobs_per_s: float) -> None:
         at_s = self.now_s - STEP_S
         while (at_s := at_s + self.random.expovariate(jobs_per_s)) < self.now_s:
-            self.sizes.note_job(pool, JOB_WORK, at_s)
+            self.sizes.record_job(pool, JOB_WORK, at_s)
 
     def _decide(self, in_turn: str) -> None:
-        views = [self._view(machine) for machine in self._by_use(in_turn)]
+        views = [self._view(machine) for machine in self._mark_busy(in_turn)]
         pools = [Pool(name) for name in POOLS]
         targets = self.sizes.targets(pools, views)
-        keeps = self.sizes.keeps(views)
-        kept = {n: max(keeps.get(n, 0), self.sizes.lately[n]) for n in POOLS}
-        wanted = [PoolView(n, False, targets[n], kept[n]) for n in POOLS]
+        retained_machines = self.sizes.retained_machines(views)
+        retained = {
+            n: max(retained_machines.get(n, 0), self.sizes.recent_max[n]) for n in POOLS
+        }
+        wanted = [PoolView(n, False, targets[n], retained[n]) for n in POOLS]
         wanted.append(PoolView("spare", True))
         by_id = {machine.machine_id: machine for machine in self.machines}
         for move in plan_moves(wanted, views, SETTINGS):
@@ -109,8 +113,8 @@
             machine.ready_at_s = self.now_s + MOVE_S
             self.moves += move.target != "spare"
 
-    def _by_use(self, in_turn: str) -> list[_Machine]:
-        """Note which machines are at work: as many as a pool's demand keeps busy."""
+    def _mark_busy(self, in_turn: str) -> list[_Machine]:
+        """Mark as busy as many machines of each pool as its demand uses."""
         busy = {pool: math.ceil(MEAN_MACHINES * OUT_OF_TURN) for pool in POOLS}
         busy[in_turn] = math.ceil(MEAN_MACHINES * IN_TURN)
         for machine in self.machines:
@@ -136,7 +140,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_machines_follow_the_turns(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
+def test_machines_follow_rotating_demand(
+    monkeypatch: pytest.MonkeyPatch, seed: int
+) -> None:
     fleet = _Fleet(monkeypatch, seed)
     fleet.play(5.0, "three")
     needed = math.ceil(MEAN_MACHINES * IN_TURN)
@@ -148,7 +154,7 @@
             fleet.play(SETTLED_S - GROWN_S, pool)
             assert fleet.ready(pool) >= 0.8 * needed
             others = [fleet.ready(other) for other in POOLS if other != pool]
-            assert max(others) <= EACH
+            assert max(others) <= MACHINES_PER_POOL
             fleet.play(TURN_S - SETTLED_S, pool)
             turns += 1
-    assert fleet.moves <= MOST_MOVES * turns * needed
+    assert fleet.moves <= MAX_MOVES_FACTOR * turns * needed
--- a/src/streamthread/holder/tests/test_wave_states.py
+++ b/src/streamthread/holder/tests/test_wave_states.py
@@ -1,6 +1,7 @@
-"""A wave's state reaches the operator though its holder ends before it is written.
+"""A wave's state is written for the operator even if its holder ends first.
 
-What is recorded for the next holder as told was only about to be written.
+The failure: a holder recorded the state as reported before it was written, so the next
+holder did not write it.
 """
 
 import asyncio
@@ -8,7 +9,7 @@
 import typing as t
 
 from streamthread.errors import StoreUnavailableError
-from streamthread.holder.waves import WaveBook
+from streamthread.holder.waves import WaveRegistry
 from streamthread.platform.store import Page
 from streamthread.platform.store import StoredRow
 
@@ -16,7 +17,7 @@
 
 
 class _Owner:
-    """A holder whose commits work, and whose way to the states may be down."""
+    """A holder with working commits, whose writes of wave states may fail."""
 
     def __init__(self, rows: dict[str, bytes], down: bool) -> None:
         self.rows = rows
@@ -29,7 +30,7 @@
     def mark(self, table: str, key: str, encode: t.Callable[[], bytes]) -> None:
         self.rows[key] = encode()
 
-    async def read_own(self, table: str) -> Page:
+    async def read_cell_table(self, table: str) -> Page:
         rows = [StoredRow(table, "", key, row, 1) for key, row in self.rows.items()]
         return Page(tuple(rows), 1)
 
@@ -54,14 +55,14 @@
     async def test_is_written_by_the_next_holder(self) -> None:
         rows: dict[str, bytes] = {}
         first = _Owner(rows, down=True)
-        book = WaveBook(t.cast(t.Any, first), retry_s=0.01)
-        book.tell(book.progress_of(WAVE), completed=True)
+        registry = WaveRegistry(t.cast(t.Any, first), retry_s=0.01)
+        registry.report(registry.progress_of(WAVE), completed=True)
         await asyncio.sleep(0)
         await first.end()
         assert not first.written
         second = _Owner(rows, down=False)
-        book = WaveBook(t.cast(t.Any, second), retry_s=0.01)
-        await book.restore()
-        book.tell(book.progress_of(WAVE), completed=True)
+        registry = WaveRegistry(t.cast(t.Any, second), retry_s=0.01)
+        await registry.restore()
+        registry.report(registry.progress_of(WAVE), completed=True)
         await asyncio.gather(*second.calls)
         assert second.written
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -1,4 +1,4 @@
-"""Works on the waves of upkeep: what is due, what goes down, what is emptied."""
+"""Runs the upkeep waves: finds due machines, empties them and takes them down."""
 
 import asyncio
 import collections
@@ -28,46 +28,46 @@
 from ..upkeep import UpkeepSettings
 from ..upkeep import WaveProgress
 from ..upkeep import WaveView
-from .lasting import LastingTasks
+from .long_running import LongRunningTasks
 from .machines import MachineTable
 from .owner import DutyOwner
 
-__all__ = ["WaveBook", "WaveWork"]
+__all__ = ["WavePlanner", "WaveRegistry"]
 
 log = logbook.Logger("streamthread.duties")
 
 TABLE_WAVES = "cell-waves"
-"""One row a wave, under its number: its progress, for the next holder."""
+"""One row per wave, keyed by its number: its progress, for the next holder."""
 
-LEAST_LEFT = 1
-"""A pool keeps so many machines while a wave presses, so that its jobs go on."""
+MIN_POOL_MACHINES = 1
+"""An urgent wave leaves each pool this many machines, so that its jobs progress."""
 
 
-class WaveBook:
-    """Keeps the waves' progress for the next holder, and tells the operator.
+class WaveRegistry:
+    """Persists the waves' progress for the next holder and reports it to the operator.
 
-    :param retry_s: pause before a state that was not written is tried again.
+    :param retry_s: pause before a failed write of a wave's state is retried.
     """
 
     def __init__(self, owner: DutyOwner, retry_s: float) -> None:
         self._owner = owner
         self._retry_s = retry_s
         self._waves: dict[int, WaveProgress] = {}
-        # The states that are being written, by wave.
+        # States that are being written, by wave number.
         self._writing: dict[int, str] = {}
 
     async def restore(self) -> None:
-        """Read what the holder before has recorded."""
-        page = await self._owner.read_own(TABLE_WAVES)
+        """Read the progress that the previous holder recorded."""
+        page = await self._owner.read_cell_table(TABLE_WAVES)
         for row in page.rows:
             if row.value is not None:
                 self._restore(row.value)
 
     def _restore(self, value: bytes) -> None:
-        """Take a wave's progress; one that can't be read begins anew.
+        """Restore a wave's progress; if it can't be decoded, the wave starts over.
 
-        An upkeep that was begun before is then ordered again, which the machines' owner
-        answers as done.
+        Upkeeps that had begun are then ordered again, and the cloud answers that they
+        are done.
         """
         try:
             progress = WaveProgress.decode(value)
@@ -77,7 +77,7 @@
         self._waves.setdefault(progress.number, progress)
 
     def progress_of(self, number: int) -> WaveProgress:
-        """Return a wave's progress; a wave that is new begins now."""
+        """Return a wave's progress; a new wave starts now."""
         progress = self._waves.get(number)
         if progress is None:
             progress = WaveProgress(number, time.time())
@@ -91,23 +91,25 @@
         return progress is not None and machine_id in progress.begun
 
     def mark_begun(self, number: int, machine_id: str) -> None:
-        """Record that a machine needs no more upkeep for a wave."""
+        """Record that a machine needs no further upkeep for a wave."""
         progress = self._waves.get(number)
         if progress is not None:
             progress.begun.add(machine_id)
             self._record(progress)
 
-    def tell(self, progress: WaveProgress, completed: bool) -> None:
-        """Write the wave's state for the operator when it has changed."""
+    def report(self, progress: WaveProgress, completed: bool) -> None:
+        """Write the wave's state for the operator if it has changed."""
         state = "completed" if completed else "running"
         if self._writing.get(progress.number, progress.told) == state:
             return
         self._writing[progress.number] = state
         log.info("wave-state", extra={"wave": progress.number, "state": state})
-        self._owner.spawn(self._tell(progress, state, completed))
+        self._owner.spawn(self._write_and_record(progress, state, completed))
 
-    async def _tell(self, progress: WaveProgress, state: str, completed: bool) -> None:
-        """Write a state, and only then record it: the next holder relies on that."""
+    async def _write_and_record(
+        self, progress: WaveProgress, state: str, completed: bool
+    ) -> None:
+        """Write a state, then record it; the next holder relies on this order."""
         await self._write_status(progress.number, completed)
         if self._writing.get(progress.number) == state:
             del self._writing[progress.number]
@@ -117,7 +119,7 @@
     async def _write_status(self, number: int, completed: bool) -> None:
         key = f"{WAVE_PREFIX}{number}"
         row = StoredRow(STATUS_TABLE, "", key, encode_wave_status(completed))
-        # A late "running" must not replace "completed".
+        # A delayed write of "running" must not overwrite "completed".
         absent = Condition(STATUS_TABLE, "", key, ABSENT)
         conditions = [] if completed else [absent]
         while True:
@@ -133,33 +135,33 @@
         self._owner.log.mark(TABLE_WAVES, str(progress.number), progress.encode)
 
 
-class WaveWork:
-    """Decides for each wave what goes down, and empties what is to follow."""
+class WavePlanner:
+    """Decides for each wave which machines go down now and which are emptied next."""
 
     def __init__(
         self,
         owner: DutyOwner,
-        book: WaveBook,
+        registry: WaveRegistry,
         table: MachineTable,
         settings: UpkeepSettings,
     ) -> None:
         self._engine = owner.engine
         self._documents = owner.context.documents
-        self._book = book
+        self._registry = registry
         self._table = table
         self._settings = settings
-        self._lasting = LastingTasks(owner.engine, owner.kick)
+        self._long_running = LongRunningTasks(owner.engine, owner.kick)
         self._emptying: set[str] = set()
         self._due: set[str] = set()
 
-    # What is due.
+    # Due machines.
 
     def is_due(self, machine_id: str) -> bool:
-        """Whether some wave had to take a machine into upkeep as the round began."""
+        """Whether a machine was due for a wave's upkeep when the round began."""
         return machine_id in self._due
 
-    def is_swapping(self, pool: str) -> bool:
-        """Whether one of a pool's machines is due and nothing is ordered for it."""
+    def has_unordered_upkeep(self, pool: str) -> bool:
+        """Whether a machine of the pool is due and has no pending duty."""
         return any(
             self.is_due(machine.machine_id)
             and machine.pool == pool
@@ -167,66 +169,64 @@
             for machine in self._table.machines.values()
         )
 
-    # One round of decisions.
+    # A round of decisions.
 
     def begin_round(self) -> None:
-        """Forget which machines the last round emptied; see which are due."""
+        """Reset which machines are being emptied, and find those that are due."""
         self._emptying.clear()
         self._due = {
             machine_id
             for wave in self._documents.waves.values()
             for machine_id in wave.machine_ids
-            if not self._book.has_begun(wave.number, machine_id)
+            if not self._registry.has_begun(wave.number, machine_id)
         }
 
     def plan(
         self, wave: Wave, views: dict[str, MachineView], targets: dict[str, int]
     ) -> UpkeepPlan | None:
-        """Return what to do for a wave now, or None when no machine is left."""
-        progress = self._book.progress_of(wave.number)
-        left = [m for m in wave.machine_ids if m not in progress.begun]
+        """Return the next steps of a wave, or None when no machine remains."""
+        progress = self._registry.progress_of(wave.number)
+        remaining_ids = [m for m in wave.machine_ids if m not in progress.begun]
         down = sum(self._table.is_down(m) for m in wave.machine_ids)
-        self._book.tell(progress, completed=not left and not down)
-        if not left:
+        self._registry.report(progress, completed=not remaining_ids and not down)
+        if not remaining_ids:
             return None
-        rest_s = progress.first_seen_s + wave.duration_s - time.time()
-        pressed = presses(len(left), wave.most_at_once, rest_s)
-        due = tuple(self._due_machine(views[m]) for m in left if m in views)
+        remaining_s = progress.first_seen_s + wave.duration_s - time.time()
+        urgent = presses(len(remaining_ids), wave.most_at_once, remaining_s)
+        due = tuple(self._due_machine(views[m]) for m in remaining_ids if m in views)
         return plan_upkeep(
             WaveView(
                 due,
-                paced_slots(len(left), wave.most_at_once, rest_s) - down,
-                self._may_give(views.values(), targets, pressed),
+                paced_slots(len(remaining_ids), wave.most_at_once, remaining_s) - down,
+                self._releasable(views.values(), targets, urgent),
             ),
             self._settings,
         )
 
-    def _may_give(
+    def _releasable(
         self,
         views: t.Collection[MachineView],
         targets: dict[str, int],
-        pressed: bool,
+        urgent: bool,
     ) -> dict[str, int]:
         """Return how many machines each pool can do without for now.
 
-        A wave that presses takes all but the last one of a pool, and machines that
-        are off although pools wait for them.
+        An urgent wave may take all but the last machine of a pool, and also
+        switched-off machines that other pools need.
         """
-        there = collections.Counter(v.pool for v in views if v.usable)
-        releasable_by_pool = {
-            name: there[name] - (LEAST_LEFT if pressed else target)
+        present = collections.Counter(v.pool for v in views if v.usable)
+        releasable = {
+            name: present[name] - (MIN_POOL_MACHINES if urgent else target)
             for name, target in targets.items()
         }
         off = collections.Counter(
             v.pool for v in views if v.free_to_move and self._table.is_spare(v.pool)
         )
-        lacking = 0 if pressed else _count_lacking(views, targets)
-        return releasable_by_pool | {
-            name: count - lacking for name, count in off.items()
-        }
+        missing = 0 if urgent else _count_missing(views, targets)
+        return releasable | {name: count - missing for name, count in off.items()}
 
     def empty(self, machine_ids: t.Iterable[str]) -> None:
-        """Place nothing new on machines, and move their lasting tasks away."""
+        """Place nothing new on machines, and move their long-running tasks away."""
         for machine_id in machine_ids:
             runner = self._table.runner_of(self._table.machines[machine_id])
             if runner is None:
@@ -238,10 +238,10 @@
                     extra={"machine": machine_id, "load": runner.used_cpu},
                 )
             runner.emptying = True
-            self._lasting.move_away(runner)
+            self._long_running.move_away(runner)
 
     def end_round(self) -> None:
-        """Let machines work again that need not be emptied any more."""
+        """Make the machines that need not be emptied any more available again."""
         ordered = {duty.runner_before for duty in self._table.pending.values()}
         for runner in self._engine.runners.values():
             runner.emptying = runner.runner_id in self._emptying
@@ -267,7 +267,7 @@
         )
 
 
-def _count_lacking(views: t.Iterable[MachineView], targets: dict[str, int]) -> int:
-    """Return how many machines all pools lack, beside those on their way."""
-    there = collections.Counter(v.pool for v in views if v.usable or v.arriving)
-    return sum(max(0, target - there[name]) for name, target in targets.items())
+def _count_missing(views: t.Iterable[MachineView], targets: dict[str, int]) -> int:
+    """Return how many machines all pools lack, not counting those that are arriving."""
+    present = collections.Counter(v.pool for v in views if v.usable or v.arriving)
+    return sum(max(0, target - present[name]) for name, target in targets.items())
