--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -34,7 +34,7 @@
 from .explain import answer_question
 from .forwarding import Forwarder
 from .forwarding import ForwardSettings
-from .front import Front
+from .frontend import Frontend
 from .operators import CellOperators
 from .view import DaemonView
 
@@ -147,7 +147,7 @@
         )
         self.port = CellPort(self.endpoint, node.ip, node.peer_ports[0])
         self.lines_dropped: t.Callable[[], int] = lambda: 0
-        self.front = self._make_front()
+        self.frontend = self._make_frontend()
         self.operators = CellOperators(self, node.ip, node.operators_port)
 
     def _make_lease(self, address: str) -> CellLease:
@@ -166,7 +166,7 @@
             self.failures,
         )
 
-    def _make_front(self) -> Front:
+    def _make_frontend(self) -> Frontend:
         forwarder = Forwarder(
             self.lease,
             self.peers,
@@ -175,7 +175,7 @@
             lambda: self.holder,
             ForwardSettings(),
         )
-        return Front(
+        return Frontend(
             self.node.callers,
             self.node.readiness,
             self.documents,
@@ -188,14 +188,14 @@
         address = await self.port.open()
         self.lease.address = self.peers.address = address
         await self.add_runtime_dependency(self.documents)
-        await self.add_runtime_dependency(self.front)
+        await self.add_runtime_dependency(self.frontend)
         await self.add_runtime_dependency(self.operators)
         await self.add_runtime_dependency(self.lease)
         log.info("started", extra={"hall": self.node.hall, "address": self.node.ip})
 
     def is_ready(self) -> bool:
         """Whether the platform should send new connections here."""
-        return self.documents.manifest is not None and not self.front.stopping
+        return self.documents.manifest is not None and not self.frontend.stopping
 
     async def on_stop(self) -> None:
         """Close the peers' port."""
@@ -283,14 +283,14 @@
     async def planned_stop(self) -> None:
         """Leave without cutting anything off."""
         began_at_s = boot_s()
-        self.front.stopping = True
+        self.frontend.stopping = True
         self.lease.stopping = True
         log.info("stopping", extra={"holding": self.lease.holding})
         await self._hand_over()
         until_s = began_at_s + self.node.bounds.grace_s - STOP_MARGIN_S
         while boot_s() < until_s:
             await asyncio.sleep(STOP_POLL_S)
-        log.info("stopped", extra={"in_flight": self.front.in_flight})
+        log.info("stopped", extra={"in_flight": self.frontend.in_flight})
 
     def _choose_successor(self) -> str:
         """Return a follower, or any peer while followers doubt a slow store."""
--- a/src/streamthread/gateway/front.py
+++ b/src/streamthread/gateway/frontend.py
@@ -1,4 +1,4 @@
-"""Serves callers over HTTP: hand in, state, cancel, how many wait."""
+"""The HTTP API for callers: submit and cancel jobs, read states, count waiting jobs."""
 
 import typing as t
 
@@ -22,41 +22,41 @@
 from .forwarding import Forwarder
 from .keys import admit
 
-__all__ = ["Front"]
+__all__ = ["Frontend"]
 
 log = logbook.Logger("streamthread.front")
 
 JSON_TYPE = "application/json"
 DEFAULT_WAIT_S = 3.0
-"""How long a caller waits who does not say so; the sites' callers wait 3 s."""
+"""Assumed wait of a caller that sends no deadline; callers at the sites wait 3 s."""
 
-LONGEST_WAIT_S = 60.0
-"""Nobody is waited for longer: an outage of the store that lasts is told by a 504."""
+MAX_WAIT_S = 60.0
+"""Upper bound on a caller's wait. Callers get a 504 if a store outage lasts longer."""
 
 ANSWER_MARGIN_S = 0.15
-"""An answer leaves so long before the caller stops waiting."""
+"""An answer is due this long before the caller stops waiting."""
 
-MOST_BODY_BYTES = 1_000_000
+MAX_BODY_BYTES = 1_000_000
 """A longer body is refused with status 413 before it is decoded."""
 
-COME_BACK_S = 1.0
-"""When a caller may come back, where the refusal names no other time."""
+RETRY_AFTER_S = 1.0
+"""The ``Retry-After`` of a refusal that names no other time."""
 
 BACKLOG = 1024
-"""Connections that the system holds until we take them: a burst of callers."""
+"""Listen backlog: connections that the kernel queues during a burst of callers."""
 
 NOT_ADMITTED_STATUS = 401
 
-FIRST_REFUSAL_STATUS = 429
-"""Answers from this status on are logged: refusals for now and missing answers,
-not mistakes of the caller. A key that opens nothing is logged as well: after a change
-of keys an operator has to see who still uses an old one."""
+MIN_LOGGED_STATUS = 429
+"""Answers with this status or a higher one are logged: temporary refusals and missing
+answers, but not errors of the caller. Refused keys are logged as well: after a change
+of keys, an operator has to see which callers still use an old one."""
 
-CLOSE_S = 0.3
-"""Connections get so long to end when the ports close, after the planned stop."""
+SHUTDOWN_TIMEOUT_S = 0.3
+"""How long open connections may take to end when the ports close after a stop."""
 
 ANSWER_BUCKETS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 3.0)
-"""From one commit (7 ms) to the longest that callers wait (3 s)."""
+"""From the time of one commit (7 ms) to the longest wait of callers (3 s)."""
 
 _KINDS = {"POST": pb.SUBMIT, "GET": pb.STATE, "DELETE": pb.CANCEL}
 
@@ -81,10 +81,10 @@
     )
 
 
-class Front(Service):
-    """The callers' port and the readiness port.
+class Frontend(Service):
+    """Serves the callers' port and the readiness port.
 
-    :param is_ready: whether the platform should send new connections here.
+    :param is_ready: returns whether the platform should send new connections here.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
     ) -> str:
         host, port = address.rsplit(":", 1)
         runner = web.ServerRunner(
-            web.Server(handler, access_log=None), shutdown_timeout=CLOSE_S
+            web.Server(handler, access_log=None), shutdown_timeout=SHUTDOWN_TIMEOUT_S
         )
         await runner.setup()
         await web.TCPSite(runner, host, int(port), backlog=BACKLOG).start()
@@ -150,7 +150,7 @@
         self.account_answers.add(reply.account, reply.status)
         key = f"{request.method} {reply.status}"
         self.answers[key] = self.answers.get(key, 0) + 1
-        if reply.status >= FIRST_REFUSAL_STATUS or reply.status == NOT_ADMITTED_STATUS:
+        if reply.status >= MIN_LOGGED_STATUS or reply.status == NOT_ADMITTED_STATUS:
             log.info(
                 "caller-refused",
                 extra={
@@ -165,7 +165,7 @@
         return self._encode(reply)
 
     def _encode(self, reply: _Reply) -> web.Response:
-        """Return the response; while stopping, it ends its connection."""
+        """Return the response, which closes its connection during a stop."""
         headers = {}
         if reply.retry_after_s:
             headers["Retry-After"] = str(max(1, round(reply.retry_after_s)))
@@ -186,7 +186,7 @@
     async def _answer(self, request: web.BaseRequest, began_at_s: float) -> _Reply:
         manifest = self._documents.manifest
         if manifest is None:
-            return _Reply(503, retry_after_s=COME_BACK_S, reason="no manifest yet")
+            return _Reply(503, retry_after_s=RETRY_AFTER_S, reason="no manifest yet")
         host = (request.headers.get("Host") or "").split(":")[0].lower()
         route = self._documents.find_route(host, request.path)
         if route is None:
@@ -196,10 +196,10 @@
             return _Reply(NOT_ADMITTED_STATUS, reason=admission.refusal)
         job_id = request.path[len(route.path_prefix) :]
         if len(job_id.encode()) > MOST_ID_BYTES:
-            # There can be no such job.
+            # No job can have an id of this length.
             return _Reply(400 if request.method == "POST" else 410)
         body = await request.read()
-        if len(body) > MOST_BODY_BYTES:
+        if len(body) > MAX_BODY_BYTES:
             return _Reply(413)
         call = _decode_call(request.method, request.path, route, body)
         if call is None:
@@ -235,8 +235,9 @@
         wait_s = float(text) / 1000
     except ValueError:
         return DEFAULT_WAIT_S
-    # No number passes for a time: a call would be passed on until it ended, or never.
-    return min(wait_s, LONGEST_WAIT_S) if wait_s >= 0 else DEFAULT_WAIT_S
+    # NaN and negative numbers are no times: a call with such a deadline would be
+    # retried without end, or not at all.
+    return min(wait_s, MAX_WAIT_S) if wait_s >= 0 else DEFAULT_WAIT_S
 
 
 def _encode_reply(call: pb.CallRequest, reply: pb.CallReply) -> _Reply:
@@ -249,6 +250,6 @@
     if reply.outcome == pb.NOT_ADMITTED:
         return _Reply(NOT_ADMITTED_STATUS, reason=reply.reason)
     if reply.outcome == pb.REFUSED:
-        come_back_s = reply.retry_after_s or COME_BACK_S
-        return _Reply(429, retry_after_s=come_back_s, reason=reply.reason)
+        retry_s = reply.retry_after_s or RETRY_AFTER_S
+        return _Reply(429, retry_after_s=retry_s, reason=reply.reason)
     return _Reply(504, reason=reply.reason)
--- a/src/streamthread/gateway/main.py
+++ b/src/streamthread/gateway/main.py
@@ -82,8 +82,8 @@
     log.info(
         "listening",
         extra={
-            "callers": daemon.front.callers_address,
-            "readiness": daemon.front.readiness_address,
+            "callers": daemon.frontend.callers_address,
+            "readiness": daemon.frontend.readiness_address,
             "peers": daemon.peers.address,
             "operators": daemon.operators.address,
         },
--- a/src/streamthread/gateway/metrics.py
+++ b/src/streamthread/gateway/metrics.py
@@ -32,32 +32,32 @@
 
     def collect(self) -> t.Iterator[Family]:
         """Yield the present values."""
-        yield from self._front()
+        yield from self._frontend()
         yield from self._platform()
         yield from self._lease()
         if self._daemon.holder is not None:
             yield from self._holder(self._daemon.holder)
 
-    def _front(self) -> t.Iterator[Family]:
-        front = self._daemon.front
+    def _frontend(self) -> t.Iterator[Family]:
+        frontend = self._daemon.frontend
         yield _counts(
             "streamthread_answers",
             "Answers to callers, by method and status.",
             "answer",
-            front.answers,
+            frontend.answers,
         )
         by_account = CounterMetricFamily(
             "streamthread_account_answers",
             "Answers to callers with a key, by client account and status.",
             labels=["account", "status"],
         )
-        for (account, status), count in front.account_answers.counts.items():
+        for (account, status), count in frontend.account_answers.counts.items():
             by_account.add_metric([account, str(status)], count)
         yield by_account
         yield GaugeMetricFamily(
             "streamthread_requests_in_flight",
             "Callers' requests in flight.",
-            value=front.in_flight,
+            value=frontend.in_flight,
         )
         documents = self._daemon.documents
         version = documents.manifest.version if documents.manifest else 0
@@ -188,6 +188,6 @@
     """Return the registry that the operators' port serves."""
     registry = CollectorRegistry()
     registry.register(_CellCollector(daemon))
-    registry.register(daemon.front.answer_s)
+    registry.register(daemon.frontend.answer_s)
     ProcessCollector(registry=registry)
     return registry
--- a/src/streamthread/gateway/tests/test_deadlines.py
+++ b/src/streamthread/gateway/tests/test_deadlines.py
@@ -1,12 +1,12 @@
-"""How long a caller is taken to wait, whatever it says."""
+"""The wait that is assumed for a caller, for valid and invalid deadline headers."""
 
 import typing as t
 
 import pytest
 
-from streamthread.gateway.front import _wait_s
-from streamthread.gateway.front import DEFAULT_WAIT_S
-from streamthread.gateway.front import LONGEST_WAIT_S
+from streamthread.gateway.frontend import _wait_s
+from streamthread.gateway.frontend import DEFAULT_WAIT_S
+from streamthread.gateway.frontend import MAX_WAIT_S
 from streamthread.platform.callers import DEADLINE_HEADER
 
 
@@ -25,9 +25,9 @@
         ("-1", DEFAULT_WAIT_S),
         ("nan", DEFAULT_WAIT_S),
         ("-inf", DEFAULT_WAIT_S),
-        ("inf", LONGEST_WAIT_S),
-        ("1e300", LONGEST_WAIT_S),
+        ("inf", MAX_WAIT_S),
+        ("1e300", MAX_WAIT_S),
     ],
 )
-def test_wait_is_a_time_that_ends(text: str, wait_s: float) -> None:
+def test_wait_is_finite_and_not_negative(text: str, wait_s: float) -> None:
     assert _wait_s(t.cast(t.Any, _Request(text))) == wait_s
--- a/src/streamthread/gateway/view.py
+++ b/src/streamthread/gateway/view.py
@@ -15,7 +15,7 @@
 from ..platform.store import RowStore
 from ..unreadable import UnreadableNotes
 from .documents import Documents
-from .front import Front
+from .frontend import Frontend
 
 __all__ = ["DaemonView"]
 
@@ -34,7 +34,7 @@
     lease: CellLease
     peers: PeerLinks
     documents: Documents
-    front: Front
+    frontend: Frontend
     holder: Holder | None
     store: RowStore
     runner_client: RunnerClient
--- a/tests/cell/support.py
+++ b/tests/cell/support.py
@@ -58,7 +58,7 @@
     async def call(
         self, method: str, job_id: str = "", body: bytes = b"", at: int = 0
     ) -> tuple[int, dict[str, t.Any], dict[str, str]]:
-        url = f"http://{self._daemons[at].front.callers_address}/jobs/{job_id}"
+        url = f"http://{self._daemons[at].frontend.callers_address}/jobs/{job_id}"
         async with self._session.request(
             method, url, data=body, headers=self._headers
         ) as response:
