--- a/src/streamthread/gateway/__init__.py
+++ b/src/streamthread/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon in front of the runners: callers, readiness, peers and the cell."""
+"""The cell's daemon: serves callers, readiness checks, peers and operators."""
 
 from .daemon import CellDaemon
 
--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Composes the cell's daemon: every machine runs the same one."""
+"""Composes the cell's daemon. Every machine runs the same daemon."""
 
 import asyncio
 import contextlib
@@ -42,56 +42,56 @@
 
 log = logbook.Logger("streamthread.gateway")
 
-STORE_ANSWER_S = 1.2
-"""Until an answer begins: six times what a slow store takes (60 times 4 ms)."""
+STORE_TIMEOUT_S = 1.2
+"""Timeout until an answer begins: six times the answer time of a slow store, which is
+60 times the usual 4 ms."""
 
-CLOUD_ANSWER_S = 2.0
-"""Until the machines' owner, or the advice service, begins to answer."""
+CLOUD_TIMEOUT_S = 2.0
+"""Timeout until the cloud, or the advice service, begins to answer."""
 
-REST_FIRST_S = 1.0
-"""A daemon that handed the cell over since it failed leaves it to others for so long;
-doubled with each time."""
+INITIAL_BACKOFF_S = 1.0
+"""A daemon that failed as the holder does not acquire the cell again for this time,
+which doubles with each failure."""
 
-REST_MOST_S = 30.0
-"""The longest such rest: with 9 daemons, one of them is always there to take it."""
+MAX_BACKOFF_S = 30.0
+"""Limit of this backoff: with 9 daemons, one is always able to acquire the cell."""
 
 STOP_POLL_S = 0.1
-"""How often a planned stop looks whether its time is over."""
+"""How often a planned stop checks whether its time is over."""
 
-HAND_OVER_S = 2.0
-"""A release takes 10 ms, and 0.6 s while the store is 60 times slower; what takes
-longer is left to a take-over."""
+RELEASE_TIMEOUT_S = 2.0
+"""A release takes 10 ms, or 0.6 s while the store is 60 times slower. If it takes
+longer, another daemon acquires the cell without a release."""
 
 STOP_MARGIN_S = 1.2
-"""The process ends by itself so long before the platform would kill it."""
-
+"""The process exits this long before the platform would kill it."""
 
 STOP_SLACK_S = 0.1
-"""A runner that lists a run so long after the longest stop has not stopped it; lists
-tell the time in whole milliseconds."""
+"""A run that its runner still lists this long after the longest stop was not stopped.
+Listings give the time in whole milliseconds."""
 
-EARLY_SHARE = 0.4
-"""Of the time by which a start may be early: the rest is for clocks that differ."""
+EARLY_START_SHARE = 0.4
+"""Share used of the time by which a start may be early. The rest allows for clocks
+that differ."""
 
-MOVES_BURST = 2.0
-"""In one decision, this many times what the cloud takes on average in its time: a
-burst needs its machines at once, and the rate counts whole seconds."""
+MOVE_BURST_FACTOR = 2.0
+"""One decision may order this many times the moves that the cloud accepts on average
+between two decisions: a burst of load needs its machines at once, and the cloud's rate
+limit counts whole seconds."""
 
-MOST_HELD_S = 6.0
-"""Nothing is held for longer, also where runners accept it: outages of the store last
-4.5 s, and a new holder waits for so long before it runs elsewhere what is recorded on
-a runner that it never reached."""
+MAX_HOLD_S = 6.0
+"""Upper bound on holds, even where runners accept longer ones. Outages of the store
+last 4.5 s, and a new holder waits for this time before it starts elsewhere the runs
+that are recorded on a runner that it never reached."""
 
 
 def cell_settings(node: NodeSettings) -> CellSettings:
-    """Return the figures of a cell under the platform's bounds."""
+    """Return the settings of a cell within the platform's bounds."""
     cut_hold_s = node.bounds.most_hold_s
-    links = LinkSettings(
-        most_hold_s=min(cut_hold_s, MOST_HELD_S), cut_hold_s=cut_hold_s
-    )
+    links = LinkSettings(most_hold_s=min(cut_hold_s, MAX_HOLD_S), cut_hold_s=cut_hold_s)
     if links.hold_s > links.most_hold_s:
         links = attrs.evolve(links, hold_s=links.most_hold_s)
-    early_s = node.bounds.early_s * EARLY_SHARE
+    early_s = node.bounds.early_s * EARLY_START_SHARE
     return CellSettings(
         links=links,
         engine=EngineSettings(
@@ -103,17 +103,17 @@
 
 
 def duty_settings(node: NodeSettings) -> DutySettings:
-    """Return how machines are ordered under the platform's bounds and rates."""
-    known = DutySettings()
-    most_moves = int(node.duties_per_s * known.tick_s * MOVES_BURST)
-    capacity = attrs.evolve(known.capacity, most_moves=max(1, most_moves))
-    return attrs.evolve(known, capacity=capacity)
+    """Return the settings for ordering machines, from the platform's rate limit."""
+    defaults = DutySettings()
+    max_moves = int(node.duties_per_s * defaults.tick_s * MOVE_BURST_FACTOR)
+    capacity = attrs.evolve(defaults.capacity, most_moves=max(1, max_moves))
+    return attrs.evolve(defaults, capacity=capacity)
 
 
 class CellDaemon(Service, DaemonView):
-    """One daemon: serves callers, follows the holder, holds the cell in turn.
+    """One daemon: serves callers, follows the holder, and may become the holder itself.
 
-    :param settings: else the figures that follow from the platform's bounds.
+    :param settings: by default derived from the platform's bounds.
     """
 
     def __init__(
@@ -125,24 +125,24 @@
         address = f"{node.ip}:{node.peer_ports[0]}"
         self.notes = UnreadableNotes()
         self.failures = Failures()
-        self.store = RowStore(node.store.address, STORE_ANSWER_S, self.notes)
+        self.store = RowStore(node.store.address, STORE_TIMEOUT_S, self.notes)
         self.runner_client = RunnerClient(self.notes)
         self.cloud: CloudClient | None = None
         if node.cloud:
-            self.cloud = CloudClient(node.cloud, CLOUD_ANSWER_S, self.notes)
+            self.cloud = CloudClient(node.cloud, CLOUD_TIMEOUT_S, self.notes)
         self.advice: AdviceClient | None = None
         if node.advice:
-            self.advice = AdviceClient(node.advice, CLOUD_ANSWER_S, self.notes)
+            self.advice = AdviceClient(node.advice, CLOUD_TIMEOUT_S, self.notes)
         self.documents = Documents(self.store, self.notes, self.failures)
         self.peers = PeerLinks(node.daemon_id, address)
         self.holder: Holder | None = None
-        self._failed_holders = 0
+        self._holder_failures = 0
         self.lease = self._make_lease(address)
         self.endpoint = CellEndpoint(
             self._handle,
-            self._beat,
+            self._heartbeat,
             self.settings.times.beat_s,
-            self._announced,
+            self._on_announcement,
             self.explain,
         )
         self.port = CellPort(self.endpoint, node.ip, node.peer_ports[0])
@@ -160,7 +160,7 @@
             self.peers,
             self.settings.times,
             self.node.cores,
-            self._hold,
+            self._run_holder,
             self._on_replaced,
             self.notes,
             self.failures,
@@ -184,7 +184,7 @@
         )
 
     async def on_start(self) -> None:
-        """Open the ports and start to follow."""
+        """Open the ports and start to follow the holder."""
         address = await self.port.open()
         self.lease.address = self.peers.address = address
         await self.add_runtime_dependency(self.documents)
@@ -202,7 +202,7 @@
         self.port.close()
 
     async def on_shutdown(self) -> None:
-        """Close all connections, once nothing uses them any more."""
+        """Close all connections once nothing uses them any more."""
         self.lease.members.close()
         self.peers.close()
         await self.store.close()
@@ -213,7 +213,7 @@
 
     # The cell.
 
-    async def _hold(self, taken: TakenCell) -> None:
+    async def _run_holder(self, taken: TakenCell) -> None:
         context = HolderContext(
             daemon_id=self.node.daemon_id,
             store=self.store,
@@ -232,35 +232,35 @@
         finally:
             self.holder = None
         if holder.failed:
-            await self._rest_after_failure(taken)
+            await self._back_off_after_failure(taken)
 
-    async def _rest_after_failure(self, taken: TakenCell) -> None:
-        """Leave the cell to another daemon, which reads all rows anew."""
-        rest_s = min(REST_FIRST_S * 2**self._failed_holders, REST_MOST_S)
-        self._failed_holders += 1
+    async def _back_off_after_failure(self, taken: TakenCell) -> None:
+        """Leave the cell to another daemon, which reads all rows again."""
+        backoff_s = min(INITIAL_BACKOFF_S * 2**self._holder_failures, MAX_BACKOFF_S)
+        self._holder_failures += 1
         log.error(
             "holder-failed",
             extra={
                 "token": taken.owner.token,
-                "times": self._failed_holders,
-                "rest_s": rest_s,
+                "times": self._holder_failures,
+                "rest_s": backoff_s,
             },
         )
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(HAND_OVER_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 await self.lease.release(taken, self._choose_successor())
-        await asyncio.sleep(rest_s)
+        await asyncio.sleep(backoff_s)
 
     def _on_replaced(self) -> None:
         if self.holder is not None:
-            self.holder.give_up("a peer names a newer holder")
+            self.holder.give_up("a peer reports a newer holder")
 
     async def _handle(self, request: pb.CallRequest) -> pb.CallReply:
         if self.holder is None:
             return pb.CallReply(outcome=pb.NOT_HOLDER)
         return await self.holder.handle(request)
 
-    def _beat(self) -> pb.Beat | None:
+    def _heartbeat(self) -> pb.Beat | None:
         if self.holder is None:
             return None
         return pb.Beat(
@@ -270,7 +270,7 @@
             head_version=self.holder.trust.standstill_version,
         )
 
-    def _announced(self, announcement: pb.Announcement) -> pb.Announcement:
+    def _on_announcement(self, announcement: pb.Announcement) -> pb.Announcement:
         self.lease.members.greeted(announcement)
         return self.lease.members.announcement(self.lease.news())
 
@@ -281,7 +281,7 @@
     # A planned stop.
 
     async def planned_stop(self) -> None:
-        """Leave without cutting anything off."""
+        """Release the cell, then stop after the grace time without cutting requests off."""
         began_at_s = boot_s()
         self.frontend.stopping = True
         self.lease.stopping = True
@@ -293,15 +293,18 @@
         log.info("stopped", extra={"in_flight": self.frontend.in_flight})
 
     def _choose_successor(self) -> str:
-        """Return a follower, or any peer while followers doubt a slow store."""
+        """Return the largest follower, or the largest peer if there is none.
+
+        A slow store can make all followers suspect the holder.
+        """
         members = self.lease.members
         return members.largest(self.endpoint.followers or members.addresses)
 
     async def _hand_over(self) -> None:
-        """Release the cell; go on holding it until that is done.
+        """Release the cell, and remain the holder until the release is written.
 
-        While the store does not take the release, beats say that others may take
-        the cell, and the runs there are still extended until they do.
+        Until the store accepts the release, heartbeats announce that others may
+        acquire the cell, and the leases of its runs are still extended until one does.
         """
         holder = self.holder
         if holder is None:
@@ -309,7 +312,7 @@
         holder.trust.begin_release()
         released = False
         try:
-            async with asyncio.timeout(HAND_OVER_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 await holder.log.flushed()
                 successor = self._choose_successor()
                 released = await self.lease.release(holder.taken, successor)
--- a/src/streamthread/gateway/tests/test_daemon.py
+++ b/src/streamthread/gateway/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's figures under the platform's bounds."""
+"""The daemon's settings within the platform's bounds."""
 
 import attrs
 
@@ -10,14 +10,14 @@
 NODE = NodeSettings("d", "h", "127.0.0.1", "a:1", "a:2", (1, 2), StoreLimits("a:3"))
 
 
-class TestFigures:
+class TestSettings:
     def test_follow_the_platforms_bounds(self) -> None:
         bounds = Bounds(most_hold_s=2.0, early_s=0.1, grace_s=6.0)
         settings = cell_settings(attrs.evolve(NODE, bounds=bounds))
         assert settings.links.hold_s <= 2.0
         assert settings.engine.early_s < 0.1
 
-    def test_leave_runs_of_a_lost_runner_no_longer_than_an_outage(self) -> None:
+    def test_runs_of_a_lost_runner_are_held_little_longer_than_an_outage(self) -> None:
         bounds = Bounds(most_hold_s=10.0)
         settings = cell_settings(attrs.evolve(NODE, bounds=bounds))
         assert settings.links.most_hold_s == 6.0
--- a/src/streamthread/gateway/view.py
+++ b/src/streamthread/gateway/view.py
@@ -1,4 +1,4 @@
-"""What the operators' port and the metrics read of a daemon."""
+"""The parts of a daemon that the operators' port and the metrics read."""
 
 import typing as t
 from abc import ABC
@@ -21,13 +21,13 @@
 
 
 class DaemonView(ABC):
-    """A daemon's parts, to be read and not changed.
+    """A read-only view of a daemon's parts.
 
-    :param holder: what it does as the cell's holder; None while another one holds it.
-    :param cloud: None where machines cannot be moved.
-    :param notes: what of its reading was passed over.
-    :param failures: what failed in it and nobody foresaw.
-    :param lines_dropped: returns how many log lines were dropped.
+    :param holder: None while another daemon holds the cell.
+    :param cloud: None if machines cannot be moved.
+    :param notes: records input that was unreadable and was skipped.
+    :param failures: counts unexpected failures.
+    :param lines_dropped: returns the number of dropped log lines.
     """
 
     node: NodeSettings
