--- a/src/streamthread/gateway/account_report.py
+++ b/src/streamthread/gateway/account_report.py
@@ -1,4 +1,4 @@
-"""What operators are told of client accounts."""
+"""Reports on client accounts for operators."""
 
 import collections
 import typing as t
@@ -12,17 +12,18 @@
 
 Json = dict[str, t.Any]
 
-MOST_ACCOUNTS = 1000
-"""Accounts with counters of their own: 950 teams are planned for. Each has a few."""
+MAX_ACCOUNTS = 1000
+"""Limit on accounts with their own counters: 950 teams are planned. Each account has
+a few counters."""
 
 OTHER_ACCOUNTS = "other accounts"
-"""What the answers of all further accounts are counted under."""
+"""The name under which answers to all further accounts are counted."""
 
 
 class AccountCounts:
-    """How often callers of each account got which status.
+    """Counts the answers to callers, by account and status.
 
-    :param counts: by account and status.
+    :param counts: the number of answers, by account and status.
     """
 
     def __init__(self) -> None:
@@ -33,7 +34,7 @@
         """Count an answer to a caller of an account."""
         if not account:
             return
-        if account not in self._known and len(self._known) >= MOST_ACCOUNTS:
+        if account not in self._known and len(self._known) >= MAX_ACCOUNTS:
             account = OTHER_ACCOUNTS
         self._known.add(account)
         key = (account, status)
@@ -41,7 +42,7 @@
 
 
 def describe_accounts(holder: Holder) -> list[Json]:
-    """Return a row an account: its share, what runs and waits, and what may run."""
+    """Return a row per account: its share, its limit, its running and waiting work."""
     open_jobs: dict[str, list[Job]] = collections.defaultdict(list)
     for job in holder.engine.open_jobs():
         open_jobs[job.account].append(job)
@@ -73,11 +74,11 @@
 
 
 def describe_limit(limit: Limit | None) -> Json:
-    """Return what an account may have running; what has no limit is left out."""
+    """Return the limits of an account, without the resources that have no limit."""
     if limit is None:
         return {}
-    most = {"cpu": limit.cpu, "memory_mb": limit.memory_mb, "gpu": limit.gpu}
-    return {name: value for name, value in most.items() if value}
+    limits = {"cpu": limit.cpu, "memory_mb": limit.memory_mb, "gpu": limit.gpu}
+    return {name: value for name, value in limits.items() if value}
 
 
 def _waiting_tasks(job: Job) -> int:
--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -281,7 +281,10 @@
     # A planned stop.
 
     async def planned_stop(self) -> None:
-        """Release the cell, then stop after the grace time without cutting requests off."""
+        """Release the cell, then stop at the end of the grace time.
+
+        Until then the open requests are answered, so that none is cut off.
+        """
         began_at_s = boot_s()
         self.frontend.stopping = True
         self.lease.stopping = True
--- a/src/streamthread/gateway/documents.py
+++ b/src/streamthread/gateway/documents.py
@@ -1,4 +1,4 @@
-"""Follows what the operator writes: the manifest and the waves."""
+"""Follows the documents that the operator writes: the manifest and the waves."""
 
 import asyncio
 import typing as t
@@ -31,25 +31,25 @@
 log = logbook.Logger("streamthread.documents")
 
 FEED_WAIT_S = 1.0
-"""Half of the time in which a change must be in force: a feed may hear nothing
-for a while, and the next call then reads on."""
+"""Half of the time within which a change must be in force: if one feed call misses
+the change, the next one still reads it in time."""
 
 RETRY_S = 0.1
-"""Pause after the store did not answer."""
+"""Pause before a retry after the store did not answer."""
 
 
 class Documents(Service):
-    """The operator's newest documents, as this daemon knows them.
+    """The operator's newest documents, as this daemon has read them.
 
-    They are read whole once, and again only where the store has lost the history: 1.1
-    MB of configuration fill the smallest links for 1.75 s, in which callers wait.
+    They are read in full once, and again only if the store has lost the history: 1.1
+    MB of configuration occupy the slowest links for 1.75 s, and callers wait meanwhile.
 
-    What can't be read changes nothing: the configuration, a route of it, or a wave
+    Unreadable input changes nothing: the configuration, one of its routes, or a wave
     stays as it was last read.
 
-    :param notes: is told of what can't be read.
-    :param failures: is told of what failed and nobody foresaw.
-    :param confirmed_at_s: when the store answered last, on the boot clock.
+    :param notes: records unreadable input.
+    :param failures: counts unexpected failures.
+    :param confirmed_at_s: when the store last answered, on the boot clock.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
     ) -> None:
         super().__init__()
         self._notes = notes or UnreadableNotes()
-        self._keeper = LoopKeeper(failures or Failures())
+        self._supervisor = LoopKeeper(failures or Failures())
         self._feed = TableFeed(store, OPERATOR_TABLE, "", FEED_WAIT_S)
         self.manifest: Manifest | None = None
         self.waves: dict[int, Wave] = {}
@@ -69,7 +69,7 @@
 
     @Service.task
     async def _run(self) -> None:
-        await self.wait(self._keeper.keep("documents", self._watch))
+        await self.wait(self._supervisor.keep("documents", self._watch))
 
     async def _watch(self) -> None:
         failing = False
@@ -91,17 +91,17 @@
         update = await self._feed.next()
         self.confirmed_at_s = boot_s()
         for row in update.rows:
-            self._take(row)
+            self._apply_row(row)
 
-    def _take(self, row: StoredRow) -> None:
+    def _apply_row(self, row: StoredRow) -> None:
         if row.value is None:
             return
         if row.key == CONFIG_KEY:
-            self._take_manifest(row.value)
+            self._apply_manifest(row.value)
         elif row.key.startswith(WAVE_PREFIX):
-            self._take_wave(row.key, row.value)
+            self._apply_wave(row.key, row.value)
 
-    def _take_manifest(self, value: bytes) -> None:
+    def _apply_manifest(self, value: bytes) -> None:
         try:
             reading = decode_manifest(value, self.manifest)
         except UnreadableError as error:
@@ -111,8 +111,8 @@
         if self.manifest is not None and manifest.version <= self.manifest.version:
             return
         self._notes.clear_all(Source.CONFIGURATION)
-        for mistake in reading.unreadable:
-            self._notes.note(Source.CONFIGURATION, mistake)
+        for decode_error in reading.unreadable:
+            self._notes.note(Source.CONFIGURATION, decode_error)
         self.manifest = manifest
         self._routes = _by_host(manifest.routes)
         log.info(
@@ -125,7 +125,7 @@
             },
         )
 
-    def _take_wave(self, key: str, value: bytes) -> None:
+    def _apply_wave(self, key: str, value: bytes) -> None:
         try:
             wave = decode_wave(key, value)
         except UnreadableError as error:
@@ -145,7 +145,7 @@
         self.waves[wave.number] = wave
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of a path: the longest prefix under its host."""
+        """Return the route with the longest prefix of a path under its host."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -156,6 +156,6 @@
     hosts: dict[str, list[Route]] = {}
     for route in routes:
         hosts.setdefault(route.host, []).append(route)
-    for found in hosts.values():
-        found.sort(key=lambda route: -len(route.path_prefix))
+    for host_routes in hosts.values():
+        host_routes.sort(key=lambda route: -len(route.path_prefix))
     return hosts
--- a/src/streamthread/gateway/explain.py
+++ b/src/streamthread/gateway/explain.py
@@ -1,4 +1,4 @@
-"""Says where each task of a job is, and why."""
+"""Explains to operators where each task of a job is, and why."""
 
 import json
 import typing as t
@@ -12,13 +12,13 @@
 from .account_report import describe_accounts
 from .account_report import describe_limit
 
-__all__ = ["answer_question", "describe_holder", "explain_job"]
+__all__ = ["answer_question", "describe_runners", "explain_job"]
 
 Json = dict[str, t.Any]
 
 
 def explain_job(holder: Holder, job_id: str) -> Json | None:
-    """Return what the holder knows of a job, or None where there is none."""
+    """Return what the holder knows of a job, or None if it has no such job."""
     job = holder.engine.jobs.get(job_id)
     if job is None:
         return None
@@ -37,7 +37,11 @@
 
 def _tasks(holder: Holder, job: Job) -> list[Json]:
     return [
-        {"task": task.name, "state": task.state.value, "why": _why(holder, step, task)}
+        {
+            "task": task.name,
+            "state": task.state.value,
+            "why": _explain_task(holder, step, task),
+        }
         for occurrence in job.occurrences.values()
         for step in occurrence.steps
         for task in step.tasks
@@ -45,16 +49,16 @@
     ]
 
 
-def _why(holder: Holder, step: StepRun, task: Task) -> str:
+def _explain_task(holder: Holder, step: StepRun, task: Task) -> str:
     if task.attempts:
         return "; ".join(
             f"run {a.run} on {a.runner_id}: {a.phase.value}"
             + (f" ({a.stop_reason})" if a.stop_reason else "")
             for a in task.attempts
         )
-    earlier = step.blocked_by()
-    if earlier:
-        return f"waits for steps {earlier}"
+    blocking = step.blocked_by()
+    if blocking:
+        return f"waits for steps {blocking}"
     job, request = step.occurrence.job, step.request
     accounts = holder.engine.accounts
     if not accounts.room_for(job, request, 1):
@@ -64,8 +68,9 @@
     usable = [r for r in runners if r.usable()]
     fitting = [r for r in usable if r.fits(request.cpu, request.memory_mb, request.gpu)]
     return (
-        f"waits for room: {len(runners)} runners in {pool}, {len(usable)} usable, "
-        f"{len(fitting)} with room for one task; failed {task.failures} times"
+        f"waits for free capacity: {len(runners)} runners in {pool}, "
+        f"{len(usable)} usable, {len(fitting)} with capacity for one task; "
+        f"failed {task.failures} times"
     )
 
 
@@ -79,8 +84,8 @@
     )
 
 
-def describe_holder(holder: Holder) -> list[Json]:
-    """Return a row a runner: what it has, and whether it answers."""
+def describe_runners(holder: Holder) -> list[Json]:
+    """Return a row per runner: its state, its runs and its free cpu."""
     return [
         {
             "runner": runner.runner_id,
@@ -100,12 +105,12 @@
 def answer_question(
     holder: Holder | None, request: pb.ExplainRequest
 ) -> pb.ExplainReply:
-    """Answer a question as the holder; an empty answer where there is nothing."""
+    """Answer a question as the holder; the answer is null if nothing is known."""
     value: t.Any = None
     if holder is not None and request.kind == "job":
         value = explain_job(holder, request.name)
     elif holder is not None and request.kind == "accounts":
         value = describe_accounts(holder)
     elif holder is not None:
-        value = describe_holder(holder)
+        value = describe_runners(holder)
     return pb.ExplainReply(text_json=json.dumps(value))
--- a/src/streamthread/gateway/forwarding.py
+++ b/src/streamthread/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Brings a caller's request to the holder, or leaves it in the store."""
+"""Forwards a caller's request to the holder, or writes it to the store's inbox."""
 
 import asyncio
 import enum
@@ -26,20 +26,23 @@
 from ..platform.store import RowStore
 from ..platform.store import StoredRow
 
-__all__ = ["ForwardSettings", "Forwarder", "Kept"]
+__all__ = ["ForwardSettings", "Forwarder", "Persisted"]
 
 log = logbook.Logger("streamthread.forwarding")
 
 
-LEAST_HOP_S = 0.1
-"""Every request gets one try, also when its caller will wait no longer."""
+MIN_HOP_S = 0.1
+"""Every request gets one attempt of this length, even past its caller's deadline."""
 
-COME_BACK_S = 1.0
-"""A refused caller is asked to come back after so long."""
+RETRY_AFTER_S = 1.0
+"""A refused caller is asked to retry after this time."""
 
 
-class Kept(enum.Enum):
-    """Whether a change is in the inbox; UNKNOWN: it may be, or get there later."""
+class Persisted(enum.Enum):
+    """Whether a change is in the inbox.
+
+    UNKNOWN means that it may be there already or arrive later.
+    """
 
     YES = "yes"
     NO = "no"
@@ -48,16 +51,17 @@
 
 @attrs.frozen
 class ForwardSettings:
-    """How a caller's request is brought to the holder.
-
-    :param hop_s: one try at the holder takes at most this.
-    :param inbox_after_s: a change that no holder took for longer goes into the
-        inbox, from which the next holder takes it; not while the holder's beats are
-        heard, since the inbox's writes queue before its commits in a slow store.
-    :param give_up_s: after so long without a holder that is heard, or with one that
-        knows only an older configuration, the caller gets its final answer; it may ask
-        again, at any daemon.
-    :param retry_s: pause between tries.
+    """How a caller's request is forwarded to the holder.
+
+    :param hop_s: timeout of one attempt to call the holder.
+    :param inbox_after_s: after this time, a change that no holder has accepted goes to
+        the inbox, from which the next holder reads it. This does not happen while the
+        holder's heartbeats arrive: in a slow store, writes to the inbox would queue
+        ahead of the holder's commits.
+    :param give_up_s: after this time without heartbeats of a holder, or with a holder
+        that has only an older configuration, the caller gets its final answer. It may
+        ask again, at any daemon.
+    :param retry_s: pause between attempts.
     """
 
     hop_s: float = 1.0
@@ -67,7 +71,7 @@
 
 
 class Forwarder:
-    """Asks the holder, here or on a peer; falls back to the inbox."""
+    """Calls the holder, in this daemon or on a peer; falls back to the inbox."""
 
     def __init__(
         self,
@@ -86,9 +90,9 @@
         self._settings = settings
 
     async def ask(self, request: pb.CallRequest, until_s: float) -> pb.CallReply:
-        """Return the holder's answer, or UNCERTAIN when none came in time.
+        """Return the holder's answer, or UNCERTAIN if none came in time.
 
-        :param until_s: on the boot clock: when the caller stops waiting.
+        :param until_s: when the caller stops waiting, on the boot clock.
         """
         began_at_s = boot_s()
         inbox_at_s = began_at_s + self._settings.inbox_after_s
@@ -96,22 +100,22 @@
         uncertain = False
         while True:
             now_s = boot_s()
-            left_s = max(until_s - now_s, LEAST_HOP_S)
+            left_s = max(until_s - now_s, MIN_HOP_S)
             reply = await self._ask_holder(request, left_s)
             if _is_final(reply, uncertain):
                 return reply
             uncertain = uncertain or reply.outcome == pb.UNCERTAIN
             now_s = boot_s()
-            if changes and now_s >= inbox_at_s and not self._hears_holder():
+            if changes and now_s >= inbox_at_s and not self._has_healthy_holder():
                 if request.kind == pb.SUBMIT and not _is_job(request.job):
-                    return _refused("the body is no job")
-                kept = await self._leave_in_inbox(request)
-                if kept is Kept.YES:
+                    return _refused("the body is not a valid job")
+                persisted = await self._write_to_inbox(request)
+                if persisted is Persisted.YES:
                     return pb.CallReply(outcome=pb.OK, state="pending")
-                if kept is Kept.NO and not uncertain:
+                if persisted is Persisted.NO and not uncertain:
                     return _refused("neither a holder nor the store answers")
                 uncertain = True
-            if self._gives_up(began_at_s, until_s, reply.outcome):
+            if self._should_give_up(began_at_s, until_s, reply.outcome):
                 break
             await asyncio.sleep(self._settings.retry_s)
         if uncertain or not changes:
@@ -120,30 +124,30 @@
             return _refused("the holder knows only an older configuration")
         return _refused("no holder is known")
 
-    def _gives_up(
+    def _should_give_up(
         self, began_at_s: float, until_s: float, outcome: pb.CallOutcome
     ) -> bool:
-        """Whether to answer without a holder's answer.
+        """Whether to answer the caller without an answer of the holder.
 
-        A holder that is heard still works on it, however slow the store is, unless it
-        says that the configuration has not come to it.
+        A healthy holder still works on the request, however slow the store is, unless
+        it reports that it has only an older configuration.
         """
         now_s = boot_s()
         if now_s >= until_s:
             return True
-        lasted_s = now_s - began_at_s
-        at_work = outcome != pb.BEHIND and self._hears_holder()
-        return lasted_s >= self._settings.give_up_s and not at_work
+        elapsed_s = now_s - began_at_s
+        in_progress = outcome != pb.BEHIND and self._has_healthy_holder()
+        return elapsed_s >= self._settings.give_up_s and not in_progress
 
-    def _hears_holder(self) -> bool:
-        """Whether there is a holder here, or one whose beats tell of no doubt."""
+    def _has_healthy_holder(self) -> bool:
+        """Whether the holder is here, or sent a recent heartbeat without suspicion."""
         holder = self._holder()
         if holder is not None and holder.active:
             return True
         return self._lease.hears_holder()
 
     async def _ask_holder(self, request: pb.CallRequest, left_s: float) -> pb.CallReply:
-        """Ask the holder once; UNCERTAIN when it may have carried it out."""
+        """Ask the holder once; UNCERTAIN if it may have carried the request out."""
         try:
             return await self._ask_once(request, left_s)
         except (PeerUnavailableError, NotHolderError) as error:
@@ -175,8 +179,8 @@
             return pb.CallReply(outcome=pb.NOT_HOLDER)
         return await self._peers.call(owner.address, request, timeout_s)
 
-    async def _leave_in_inbox(self, request: pb.CallRequest) -> Kept:
-        """Keep a change in the store, for the next holder."""
+    async def _write_to_inbox(self, request: pb.CallRequest) -> Persisted:
+        """Write a change to the store's inbox, for the next holder."""
         entry = InboxEntry(
             request.job_id,
             request.route,
@@ -194,25 +198,25 @@
             log.warning(
                 "inbox-failed", extra={"job": request.job_id, "error": str(error)}
             )
-            sure = isinstance(error, StoreUnavailableError)
-            return Kept.NO if sure else Kept.UNKNOWN
+            not_written = isinstance(error, StoreUnavailableError)
+            return Persisted.NO if not_written else Persisted.UNKNOWN
         log.info(
             "left-in-inbox",
             extra={"job": request.job_id, "cancel": entry.is_cancel},
         )
-        return Kept.YES if result.committed else Kept.UNKNOWN
+        return Persisted.YES if result.committed else Persisted.UNKNOWN
 
 
 def _is_final(reply: pb.CallReply, uncertain: bool) -> bool:
-    """Whether a caller may be told this answer.
+    """Whether a caller may get this answer.
 
-    :param uncertain: an earlier try may have been accepted, so that a refusal of
-        this one does not say that the request is surely refused.
+    :param uncertain: an earlier attempt may have been accepted, so a refusal of this
+        attempt does not prove that the request was refused.
     """
     if reply.outcome == pb.REFUSED:
         return not uncertain
     if reply.outcome == pb.UNCERTAIN and reply.reason:
-        # The holder says why it can't tell, and no later try changes that.
+        # The holder gives a reason for not knowing, and a retry would not change it.
         return True
     return reply.outcome not in (pb.UNCERTAIN, pb.NOT_HOLDER, pb.BEHIND)
 
@@ -226,4 +230,4 @@
 
 
 def _refused(reason: str) -> pb.CallReply:
-    return pb.CallReply(outcome=pb.REFUSED, reason=reason, retry_after_s=COME_BACK_S)
+    return pb.CallReply(outcome=pb.REFUSED, reason=reason, retry_after_s=RETRY_AFTER_S)
--- a/src/streamthread/gateway/keys.py
+++ b/src/streamthread/gateway/keys.py
@@ -1,4 +1,4 @@
-"""Which client account a call is made for, by the key that it brings."""
+"""Finds the client account of a call by the key in the call."""
 
 import typing as t
 
@@ -11,18 +11,19 @@
 
 __all__ = ["Admission", "admit"]
 
-MOST_KEY_LENGTH = 200
-"""A longer text is no key, and is not digested; the deployments' keys have 20 signs."""
+MAX_KEY_LENGTH = 200
+"""A longer key is refused without being digested; the deployments' keys have 20
+characters."""
 
 
 @attrs.frozen
 class Admission:
-    """Whether a call may be made, and for which account.
+    """Whether a call is allowed, and for which account.
 
-    :param account: empty where the route needs no key.
-    :param digest: of the key, for whoever knows a newer configuration.
-    :param refusal: why the call is not made; empty: it is. It never says what the key
-        was.
+    :param account: empty if the route needs no key.
+    :param digest: of the key, for a holder that has a newer configuration.
+    :param refusal: why the call is refused; empty if it is allowed. It never contains
+        the key.
     """
 
     account: str = ""
@@ -31,9 +32,9 @@
 
 
 def admit(manifest: Manifest, route: Route, keys: t.Sequence[str]) -> Admission:
-    """Return whether a call on a route may be made with the keys that it brings.
+    """Return whether a call on a route is allowed with the keys in the call.
 
-    On a route that needs none, keys are not looked at.
+    Keys are ignored on a route that needs none.
     """
     if not route.needs_key:
         return Admission()
@@ -41,7 +42,7 @@
         return Admission(refusal="no key")
     if len(keys) > 1:
         return Admission(refusal="several keys")
-    if not keys[0] or len(keys[0]) > MOST_KEY_LENGTH:
+    if not keys[0] or len(keys[0]) > MAX_KEY_LENGTH:
         return Admission(refusal="malformed key")
     digest = digest_key(keys[0])
     account = manifest.account_of(digest)
--- a/src/streamthread/gateway/logs.py
+++ b/src/streamthread/gateway/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output: bounded in volume, never blocking."""
+"""Structured logs on standard output, rate-limited and written without blocking."""
 
 import datetime
 import json
@@ -11,20 +11,20 @@
 
 from ..clocks import boot_s
 
-__all__ = ["BoundedLines", "start_cell_logging"]
+__all__ = ["JsonLineHandler", "start_cell_logging"]
 
-LINES_PER_S = 400
-"""More than a calm day writes, and under 1% of a core at 20 us a line."""
+MAX_LINES_PER_S = 400
+"""More than the daemon logs on a normal day, and under 1% of a core at 20 us a line."""
 
 STDOUT = 1
-"""The number of the standard output's file descriptor."""
+"""The file descriptor of standard output."""
 
 
-class BoundedLines(logbook.Handler):
-    """Writes each record as one JSON object a line, up to a rate.
+class JsonLineHandler(logbook.Handler):
+    """Writes each record as one line of JSON, up to a rate limit.
 
-    What is over the rate, or what the reader does not take in time, is dropped
-    and counted; the count is told with the next line that is written.
+    Records over the limit, and records that the reader does not accept in time, are
+    dropped and counted. The next line that is written reports the count.
 
     :param write: writes some of the bytes and returns how many, like `os.write`.
     """
@@ -33,7 +33,7 @@
         self,
         daemon_id: str,
         level: str = "INFO",
-        lines_per_s: int = LINES_PER_S,
+        lines_per_s: int = MAX_LINES_PER_S,
         write: t.Callable[[bytes], int] = lambda data: os.write(STDOUT, data),
     ) -> None:
         super().__init__(level=level, bubble=False)
@@ -41,28 +41,28 @@
         self._lines_per_s = lines_per_s
         self._write = write
         self._second = 0
-        self._count = 0
-        self._rest = b""
+        self._lines_in_second = 0
+        self._unwritten = b""
         self.dropped = 0
-        self._told = 0
+        self._reported_dropped = 0
 
     def emit(self, record: t.Any) -> None:
         """Write a record, or count it as dropped."""
         second = int(boot_s())
         if second != self._second:
-            self._second, self._count = second, 0
-        if self._count >= self._lines_per_s or not self._flush():
+            self._second, self._lines_in_second = second, 0
+        if self._lines_in_second >= self._lines_per_s or not self._flush():
             self.dropped += 1
             return
-        self._count += 1
-        self._rest = self._line(record).encode() + b"\n"
+        self._lines_in_second += 1
+        self._unwritten = self._line(record).encode() + b"\n"
         self._flush()
 
     def _flush(self) -> bool:
-        """Write what is left; return whether nothing is left."""
+        """Write pending bytes; return whether all of them were written."""
         try:
-            while self._rest:
-                self._rest = self._rest[self._write(self._rest) :]
+            while self._unwritten:
+                self._unwritten = self._unwritten[self._write(self._unwritten) :]
         except BlockingIOError:
             return False
         return True
@@ -77,19 +77,19 @@
             "event": record.message,
             **record.extra,
         }
-        if self.dropped != self._told:
+        if self.dropped != self._reported_dropped:
             line["lines_dropped"] = self.dropped
-            self._told = self.dropped
+            self._reported_dropped = self.dropped
         if record.exc_info:
             line["traceback"] = record.formatted_exception
         return json.dumps(line, default=str)
 
 
-def start_cell_logging(daemon_id: str, level: str = "INFO") -> BoundedLines:
+def start_cell_logging(daemon_id: str, level: str = "INFO") -> JsonLineHandler:
     """Send all logs of the process to standard output as JSON lines."""
     redirect_logging()
     logging.getLogger().setLevel("WARNING")
     os.set_blocking(STDOUT, False)
-    handler = BoundedLines(daemon_id, level)
+    handler = JsonLineHandler(daemon_id, level)
     handler.push_application()
     return handler
--- a/src/streamthread/gateway/main.py
+++ b/src/streamthread/gateway/main.py
@@ -21,7 +21,7 @@
 from ..signals import until_signal
 from .daemon import cell_settings
 from .daemon import CellDaemon
-from .logs import BoundedLines
+from .logs import JsonLineHandler
 from .logs import start_cell_logging
 from .overrides import override_settings
 
@@ -30,52 +30,56 @@
 log = logbook.Logger("streamthread.gateway")
 
 BAD_INPUT_STATUS = 2
-"""The exit status of a settings file with mistakes, as of a bad command line."""
+"""The exit status for an invalid settings file, as for an invalid command line."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add what the daemon's command line takes."""
-    parser.add_argument("--settings", default="", help=f"else from {FILE_VARIABLE}")
+    """Add the daemon's command-line options."""
+    parser.add_argument(
+        "--settings", default="", help=f"settings file; default: from {FILE_VARIABLE}"
+    )
     parser.add_argument("--log-level", default="INFO")
     parser.add_argument(
-        "--check", action="store_true", help="only print what is wrong with it"
+        "--check",
+        action="store_true",
+        help="only check the settings and print their errors",
     )
     parser.add_argument(
         "--set",
         action="append",
         default=[],
         metavar="PATH=VALUE",
-        help="set one of the cell's figures, for a trial; may be repeated",
+        help="override one setting of the cell, for an experiment; may be repeated",
     )
 
 
 def read_node(settings: str) -> NodeSettings:
-    """Read the settings file that is named, or that the environment names."""
+    """Read the given settings file, or the one that the environment names."""
     path = settings or os.environ.get(FILE_VARIABLE, "")
     if not path:
         raise SettingsError(
-            "no settings file is named",
+            "no settings file given",
             remedy=f"give --settings, or set {FILE_VARIABLE}",
         )
     return decode_node(pathlib.Path(path).read_text())
 
 
 def run_cell(arguments: argparse.Namespace) -> int:
-    """Run the daemon until it is told to stop."""
+    """Run the daemon until a signal stops it."""
     node = read_node(arguments.settings)
     settings = override_settings(cell_settings(node), arguments.set)
     if arguments.check:
-        print(f"{node.daemon_id}: the settings are in order")
+        print(f"{node.daemon_id}: the settings are valid")
         return 0
-    lines = start_cell_logging(node.daemon_id, arguments.log_level)
-    return asyncio.run(_serve(node, settings, lines))
+    handler = start_cell_logging(node.daemon_id, arguments.log_level)
+    return asyncio.run(_serve(node, settings, handler))
 
 
 async def _serve(
-    node: NodeSettings, settings: CellSettings, lines: BoundedLines
+    node: NodeSettings, settings: CellSettings, handler: JsonLineHandler
 ) -> int:
     daemon = CellDaemon(node, settings)
-    daemon.lines_dropped = lambda: lines.dropped
+    daemon.lines_dropped = lambda: handler.dropped
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, _on_reload)
     await daemon.start()
@@ -95,7 +99,7 @@
 
 
 def _on_reload() -> None:
-    """Nothing that the platform may change while we run is kept in memory."""
+    """Reload nothing: no setting that the platform changes at run time is cached."""
     log.info("reload-asked")
 
 
@@ -105,10 +109,10 @@
     add_arguments(parser)
     try:
         return run_cell(parser.parse_args(argv))
-    except SettingsError as mistake:
-        mistakes: list[StreamthreadError] = [mistake]
+    except SettingsError as settings_error:
+        errors: list[StreamthreadError] = [settings_error]
     except ExceptionGroup as group:
-        mistakes = leaf_errors(group)
-    for error in mistakes:
+        errors = leaf_errors(group)
+    for error in errors:
         print(f"{error.kind}: {error}", file=sys.stderr)
     return BAD_INPUT_STATUS
--- a/src/streamthread/gateway/metrics.py
+++ b/src/streamthread/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a cell's daemon, read from its parts when they are scraped."""
+"""The metrics of a cell's daemon, read from its parts at each scrape."""
 
 import typing as t
 
@@ -17,7 +17,7 @@
 Family = GaugeMetricFamily | CounterMetricFamily
 
 
-def _counts(name: str, text: str, label: str, counts: dict[str, int]) -> Family:
+def _counter_family(name: str, text: str, label: str, counts: dict[str, int]) -> Family:
     family = CounterMetricFamily(name, text, labels=[label])
     for value, count in counts.items():
         family.add_metric([value], count)
@@ -31,7 +31,7 @@
         self._daemon = daemon
 
     def collect(self) -> t.Iterator[Family]:
-        """Yield the present values."""
+        """Yield the current values."""
         yield from self._frontend()
         yield from self._platform()
         yield from self._lease()
@@ -40,7 +40,7 @@
 
     def _frontend(self) -> t.Iterator[Family]:
         frontend = self._daemon.frontend
-        yield _counts(
+        yield _counter_family(
             "streamthread_answers",
             "Answers to callers, by method and status.",
             "answer",
@@ -73,32 +73,32 @@
 
     def _platform(self) -> t.Iterator[Family]:
         daemon = self._daemon
-        yield _counts(
+        yield _counter_family(
             "streamthread_store_calls",
             "Calls to the store.",
             "call",
             daemon.store.calls,
         )
-        yield _counts(
+        yield _counter_family(
             "streamthread_runner_calls",
             "Calls to runners.",
             "call",
             daemon.runner_client.calls,
         )
         if daemon.cloud is not None:
-            yield _counts(
+            yield _counter_family(
                 "streamthread_cloud_calls",
                 "Calls to the machines' owner.",
                 "call",
                 daemon.cloud.calls,
             )
-        yield _counts(
+        yield _counter_family(
             "streamthread_unreadable",
             "What others wrote and could not be read, by its source.",
             "source",
             daemon.notes.counts,
         )
-        yield _counts(
+        yield _counter_family(
             "streamthread_unforeseen_failures",
             "Failures that nobody foresaw, by the loop that was begun again.",
             "loop",
@@ -137,7 +137,7 @@
             "Jobs of which something may still run.",
             len(engine.open_jobs()),
         )
-        yield _counts(
+        yield _counter_family(
             "streamthread_runs",
             "Runs that ended or were refused.",
             "how",
--- a/src/streamthread/gateway/operators.py
+++ b/src/streamthread/gateway/operators.py
@@ -1,4 +1,4 @@
-"""The operators' port: metrics, status, and why a job's tasks are where they are."""
+"""The operators' port: metrics, status, and explanations of a job's tasks."""
 
 import json
 
@@ -14,12 +14,12 @@
 
 __all__ = ["CellOperators"]
 
-CLOSE_S = 0.3
-"""Connections get so long to end when the port closes."""
+SHUTDOWN_TIMEOUT_S = 0.3
+"""How long open connections may take to end when the port closes."""
 
 
 class CellOperators(Service):
-    """Serves operators; any daemon answers, by asking the holder."""
+    """Serves operators. Every daemon can answer, since it asks the holder."""
 
     def __init__(self, daemon: DaemonView, host: str, port: int) -> None:
         super().__init__()
@@ -38,7 +38,9 @@
         app.router.add_get("/explain/job/{name}", self._explain)
         app.router.add_get("/runners", self._runners)
         app.router.add_get("/accounts", self._accounts)
-        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S)
+        self._runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await self._runner.setup()
         await web.TCPSite(self._runner, self._host, self._port).start()
         host, port = self._runner.addresses[0][:2]
@@ -81,7 +83,7 @@
         return await self._ask("accounts", "")
 
     async def _ask(self, kind: str, name: str) -> web.Response:
-        """Answer from the holder, here or on a peer."""
+        """Answer from the holder, in this daemon or on a peer."""
         call = pb.ExplainRequest(kind=kind, name=name)
         owner = self._daemon.lease.owner
         if self._daemon.holder is not None:
--- a/src/streamthread/gateway/overrides.py
+++ b/src/streamthread/gateway/overrides.py
@@ -1,4 +1,4 @@
-"""Sets single figures of a cell from the command line, for trials of a policy."""
+"""Overrides single settings of a cell from the command line, for experiments."""
 
 import typing as t
 
@@ -13,11 +13,11 @@
 def override_settings(
     settings: CellSettings, overrides: t.Iterable[str]
 ) -> CellSettings:
-    """Return the settings with some figures replaced.
+    """Return the settings with some of them replaced.
 
-    :param overrides: each ``PATH=VALUE``; a path names attributes from the cell's
-        settings on, such as ``duties.capacity.headroom_machines``.
-    :raises SettingsError: a path names no figure, or a value does not fit it.
+    :param overrides: each ``PATH=VALUE``; a path names nested attributes of the
+        cell's settings, such as ``duties.capacity.headroom_machines``.
+    :raises SettingsError: a path names no setting, or a value has the wrong type.
     """
     for override in overrides:
         path, separator, text = override.partition("=")
@@ -39,38 +39,42 @@
     name = names[0]
     if name not in known:
         raise SettingsError(
-            f"there is no {name!r}",
-            remedy=f"known are {', '.join(known)}",
+            f"there is no setting {name!r}",
+            remedy=f"known settings: {', '.join(known)}",
             location=path,
         )
     value = getattr(settings, name)
     if attrs.has(type(value)):
         if len(names) == 1:
             raise SettingsError(
-                f"{name!r} is a group of figures",
-                remedy="name one of its figures after a dot",
+                f"{name!r} is a group of settings",
+                remedy="name one of its settings after a dot",
                 location=path,
             )
         inner = _replace(value, names[1:], text, path)
         return t.cast(Settings, attrs.evolve(t.cast(t.Any, settings), **{name: inner}))
     if len(names) > 1:
         raise SettingsError(
-            f"{name!r} is one figure", remedy="end the path with it", location=path
+            f"{name!r} is a single setting",
+            remedy="end the path with it",
+            location=path,
         )
-    figure = _convert(text, type(value), path)
-    return t.cast(Settings, attrs.evolve(t.cast(t.Any, settings), **{name: figure}))
+    new_value = _convert(text, type(value), path)
+    return t.cast(Settings, attrs.evolve(t.cast(t.Any, settings), **{name: new_value}))
 
 
 def _convert(text: str, kind: type[t.Any], path: str) -> t.Any:
     if kind is bool:
         if text not in ("true", "false"):
             raise SettingsError(
-                f"{text!r} is no boolean", remedy="give true or false", location=path
+                f"{text!r} is not a boolean", remedy="give true or false", location=path
             )
         return text == "true"
     try:
         return kind(text)
     except ValueError as error:
         raise SettingsError(
-            f"{text!r} is no {kind.__name__}", remedy="give a number", location=path
+            f"{text!r} is not a valid {kind.__name__}",
+            remedy="give a number",
+            location=path,
         ) from error
--- a/src/streamthread/gateway/tests/test_documents.py
+++ b/src/streamthread/gateway/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""What a daemon reads of the operator's documents, and how often."""
+"""How often a daemon reads the operator's documents in full."""
 
 import json
 import typing as t
@@ -14,16 +14,16 @@
 
 
 class _Store:
-    """A manifest that is read whole, and feeds without a change."""
+    """Returns a manifest on a full read, and no change on each feed call."""
 
     def __init__(self) -> None:
         manifest = json.dumps({"version": 1}).encode()
         self.row = StoredRow("op", "", "config", manifest, 1)
-        self.whole_reads = 0
+        self.full_reads = 0
         self.feeds = 0
 
     async def read_all(self, table: str, part: str) -> Page:
-        self.whole_reads += 1
+        self.full_reads += 1
         return Page((self.row,), 1)
 
     async def feed(self, table: str, after: int, wait_s: float) -> Page:
@@ -32,7 +32,7 @@
 
 
 class _Clock:
-    """Stands for the clock."""
+    """A boot clock that advances by an hour with each reading."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -50,15 +50,15 @@
 
 
 class TestReading:
-    async def test_reads_the_documents_whole_once(self, clock: _Clock) -> None:
+    async def test_reads_the_documents_in_full_once(self, clock: _Clock) -> None:
         store = _Store()
         documents = Documents(t.cast(t.Any, store))
         for _ in range(3):
             await documents._watch_once()
-        assert store.whole_reads == 1
+        assert store.full_reads == 1
         assert store.feeds == 2
 
-    async def test_knows_the_documents_by_each_answer(self, clock: _Clock) -> None:
+    async def test_each_answer_confirms_the_documents(self, clock: _Clock) -> None:
         documents = Documents(t.cast(t.Any, _Store()))
         await documents._watch_once()
         before_s = documents.confirmed_at_s
--- a/src/streamthread/gateway/tests/test_forwarding.py
+++ b/src/streamthread/gateway/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What a caller is told when holders come and go."""
+"""Answers to callers while holders are lost, replaced or slow."""
 
 import typing as t
 
@@ -25,15 +25,15 @@
     holding = False
     address = "me:1"
 
-    def __init__(self, heard: bool) -> None:
-        self._heard = heard
+    def __init__(self, healthy: bool) -> None:
+        self._healthy = healthy
 
     def hears_holder(self) -> bool:
-        return self._heard
+        return self._healthy
 
 
 class _Peers:
-    """Answers with what a test lists, the last one for ever."""
+    """Gives a test's answers in order, and repeats the last one."""
 
     def __init__(self, *replies: t.Any) -> None:
         self._replies = list(replies)
@@ -50,90 +50,96 @@
 class _Store:
     def __init__(self, error: Exception | None = None) -> None:
         self._error = error
-        self.kept: list[t.Any] = []
+        self.written: list[t.Any] = []
 
     async def transact(self, conditions: t.Any, rows: t.Any) -> t.Any:
         if self._error is not None:
             raise self._error
-        self.kept.extend(rows)
+        self.written.extend(rows)
         return type("Result", (), {"committed": True})()
 
 
-def _lost() -> PeerUnavailableError:
+def _unanswered() -> PeerUnavailableError:
     return PeerUnavailableError("no answer", remedy="-")
 
 
-def _down() -> StoreUnavailableError:
+def _store_down() -> StoreUnavailableError:
     return StoreUnavailableError("refused", remedy="-")
 
 
 async def _ask(
-    peers: _Peers, store: _Store, heard: bool = False, wait_s: float = 3.0
+    peers: _Peers, store: _Store, healthy: bool = False, wait_s: float = 3.0
 ) -> pb.CallReply:
-    args: t.Any = (_Lease(heard), peers, store, "main", lambda: None, SETTINGS)
+    args: t.Any = (_Lease(healthy), peers, store, "main", lambda: None, SETTINGS)
     return await Forwarder(*args).ask(SUBMIT, boot_s() + wait_s)
 
 
 class TestSubmit:
-    async def test_that_may_have_been_accepted_is_never_called_refused(self) -> None:
+    async def test_that_may_have_been_accepted_is_never_reported_as_refused(
+        self,
+    ) -> None:
         refused = pb.CallReply(outcome=pb.REFUSED)
-        reply = await _ask(_Peers(_lost(), refused), _Store(_down()))
+        reply = await _ask(_Peers(_unanswered(), refused), _Store(_store_down()))
         assert reply.outcome == pb.UNCERTAIN
 
-    async def test_that_nobody_can_have_taken_is_refused_at_once(self) -> None:
+    async def test_that_no_holder_can_have_accepted_is_refused_at_once(self) -> None:
         began_at_s = boot_s()
-        nobody = pb.CallReply(outcome=pb.NOT_HOLDER)
-        reply = await _ask(_Peers(nobody), _Store(_down()))
+        not_holder = pb.CallReply(outcome=pb.NOT_HOLDER)
+        reply = await _ask(_Peers(not_holder), _Store(_store_down()))
         assert reply.outcome == pb.REFUSED
         assert reply.retry_after_s > 0
         assert boot_s() - began_at_s < SETTINGS.give_up_s
 
-    async def test_is_left_in_the_inbox_when_no_holder_answers(self) -> None:
+    async def test_is_written_to_the_inbox_if_no_holder_answers(self) -> None:
         store = _Store()
-        reply = await _ask(_Peers(_lost()), store)
+        reply = await _ask(_Peers(_unanswered()), store)
         assert reply.outcome == pb.OK
-        assert len(store.kept) == 1
+        assert len(store.written) == 1
 
-    async def test_whose_inbox_row_may_be_kept_is_uncertain(self) -> None:
-        nobody = pb.CallReply(outcome=pb.NOT_HOLDER)
+    async def test_whose_inbox_row_may_be_persisted_is_uncertain(self) -> None:
+        not_holder = pb.CallReply(outcome=pb.NOT_HOLDER)
         unknown = OutcomeUnknownError("no answer", remedy="-")
-        reply = await _ask(_Peers(nobody), _Store(unknown))
+        reply = await _ask(_Peers(not_holder), _Store(unknown))
         assert reply.outcome == pb.UNCERTAIN
 
-    async def test_gets_its_final_answer_long_before_the_caller_gives_up(self) -> None:
+    async def test_gets_its_final_answer_long_before_the_callers_deadline(self) -> None:
         began_at_s = boot_s()
-        reply = await _ask(_Peers(_lost()), _Store(_down()))
+        reply = await _ask(_Peers(_unanswered()), _Store(_store_down()))
         assert reply.outcome == pb.UNCERTAIN
         assert boot_s() - began_at_s < 1.0
 
-    async def test_is_not_left_in_the_inbox_while_the_holder_is_heard(self) -> None:
+    async def test_is_not_written_to_the_inbox_while_the_holder_is_healthy(
+        self,
+    ) -> None:
         store = _Store()
         done = pb.CallReply(outcome=pb.OK)
-        reply = await _ask(_Peers(_lost(), _lost(), done), store, heard=True)
+        reply = await _ask(
+            _Peers(_unanswered(), _unanswered(), done), store, healthy=True
+        )
         assert reply.outcome == pb.OK
-        assert not store.kept
+        assert not store.written
 
-    async def test_waits_for_a_slow_holder_that_is_heard(self) -> None:
+    async def test_waits_for_a_slow_but_healthy_holder(self) -> None:
         began_at_s = boot_s()
         wait_s = 2 * SETTINGS.give_up_s
-        reply = await _ask(_Peers(_lost()), _Store(), heard=True, wait_s=wait_s)
+        reply = await _ask(_Peers(_unanswered()), _Store(), healthy=True, wait_s=wait_s)
         assert reply.outcome == pb.UNCERTAIN
         assert boot_s() - began_at_s >= wait_s
 
-    async def test_is_refused_while_the_holder_knows_an_older_configuration(
+    async def test_is_refused_while_the_holder_has_an_older_configuration(
         self,
     ) -> None:
         began_at_s = boot_s()
         store = _Store()
         behind = pb.CallReply(outcome=pb.BEHIND)
-        reply = await _ask(_Peers(behind), store, heard=True)
+        reply = await _ask(_Peers(behind), store, healthy=True)
         assert reply.outcome == pb.REFUSED
         assert "older configuration" in reply.reason
         assert boot_s() - began_at_s >= SETTINGS.give_up_s
-        assert not store.kept
+        assert not store.written
 
     async def test_waits_for_the_holders_configuration(self) -> None:
         behind = pb.CallReply(outcome=pb.BEHIND)
         done = pb.CallReply(outcome=pb.OK)
-        reply = await _ask(_Peers(behind, behind, done), _Store(), heard=True)
+        reply = await _ask(_Peers(behind, behind, done), _Store(), healthy=True)
         assert reply.outcome == pb.OK
--- a/src/streamthread/gateway/tests/test_keys.py
+++ b/src/streamthread/gateway/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Which calls may be made with the keys that they bring."""
+"""Which calls are allowed with the keys in them."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from streamthread.gateway.keys import Admission
 from streamthread.gateway.keys import admit
-from streamthread.gateway.keys import MOST_KEY_LENGTH
+from streamthread.gateway.keys import MAX_KEY_LENGTH
 from streamthread.platform.manifest import decode_manifest
 from streamthread.platform.manifest import Manifest
 from streamthread.platform.manifest import Route
@@ -32,11 +32,11 @@
         ["Good-key"],
         ["good-key,good-key"],
         ["good-key", "good-key"],
-        ["x" * (MOST_KEY_LENGTH + 1)],
+        ["x" * (MAX_KEY_LENGTH + 1)],
         ["\udcff\x00"],
     ],
 )
-def test_what_is_no_key_is_refused_and_not_repeated(
+def test_invalid_keys_are_refused_without_quoting_them(
     manifest: Manifest, keys: list[str]
 ) -> None:
     admission = admit(manifest, CLOSED, keys)
@@ -50,7 +50,7 @@
     assert not admission.digest
 
 
-def test_a_key_opens_its_account(manifest: Manifest) -> None:
+def test_a_valid_key_selects_its_account(manifest: Manifest) -> None:
     admission = admit(manifest, CLOSED, ["good-key"])
     assert (admission.account, admission.refusal) == ("ann", "")
     assert "good-key" not in repr(admission)
@@ -58,5 +58,5 @@
 
 
 @pytest.mark.parametrize("keys", [[], ["other"], ["good-key"]])
-def test_a_public_route_looks_at_no_key(manifest: Manifest, keys: list[str]) -> None:
+def test_a_public_route_ignores_keys(manifest: Manifest, keys: list[str]) -> None:
     assert admit(manifest, OPEN, keys) == Admission()
--- a/src/streamthread/gateway/tests/test_overrides.py
+++ b/src/streamthread/gateway/tests/test_overrides.py
@@ -1,4 +1,4 @@
-"""Single figures of a cell are set from the command line."""
+"""Single settings of a cell are overridden from the command line."""
 
 import pytest
 
@@ -8,14 +8,14 @@
 
 
 class TestOverrides:
-    def test_replace_one_figure_and_leave_the_others(self) -> None:
+    def test_replace_one_setting_and_keep_the_others(self) -> None:
         before = CellSettings()
         after = override_settings(before, ["duties.capacity.headroom_machines=0.5"])
         assert after.duties.capacity.headroom_machines == 0.5
         assert after.duties.capacity.idle_s == before.duties.capacity.idle_s
         assert after.links == before.links
 
-    def test_keep_the_kind_of_a_figure(self) -> None:
+    def test_keep_the_type_of_a_setting(self) -> None:
         after = override_settings(CellSettings(), ["duties.capacity.least_machines=1"])
         assert after.duties.capacity.least_machines == 1
         assert isinstance(after.duties.capacity.least_machines, int)
@@ -24,12 +24,14 @@
         ("override", "remedy"),
         [
             ("links.hold_s", "PATH=VALUE"),
-            ("links.hold=1", "known are"),
+            ("links.hold=1", "known settings: "),
             ("links=1", "after a dot"),
             ("links.hold_s.x=1", "end the path"),
             ("links.hold_s=soon", "give a number"),
         ],
     )
-    def test_refuse_what_names_no_figure(self, override: str, remedy: str) -> None:
+    def test_refuse_a_path_that_names_no_setting(
+        self, override: str, remedy: str
+    ) -> None:
         with pytest.raises(SettingsError, match=remedy):
             override_settings(CellSettings(), [override])
--- a/tests/cell/test_accounts.py
+++ b/tests/cell/test_accounts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from streamthread.gateway import CellDaemon
-from streamthread.gateway.logs import BoundedLines
+from streamthread.gateway.logs import JsonLineHandler
 from streamthread.platform.node import decode_node
 
 from .support import Caller
@@ -123,7 +123,7 @@
             holder = await cell.until_ready()
             behind = next(d for d in cell.daemons if d is not holder)
             with monkeypatch.context() as held_back:
-                held_back.setattr(behind.documents, "_take", lambda row: None)
+                held_back.setattr(behind.documents, "_apply_row", lambda row: None)
                 cell.world.accounts = [account("ann", ANN_OTHER_KEY)]
                 await cell.world.write_manifest(3)
                 manifest = holder.documents
@@ -209,7 +209,7 @@
             lines.append(data)
             return len(data)
 
-        with BoundedLines("test", "DEBUG", MANY_LINES, write).applicationbound():
+        with JsonLineHandler("test", "DEBUG", MANY_LINES, write).applicationbound():
             async with cell_with(ANN, BOB, account("eve", BOB_KEY)) as cell:
                 for key in KEYS:
                     caller = cell.caller(key=key)
--- a/tests/cell/test_documents.py
+++ b/tests/cell/test_documents.py
@@ -71,7 +71,7 @@
             holder = await cell.until_ready()
             caller = cell.caller()
             with monkeypatch.context() as held_back:
-                held_back.setattr(holder.documents, "_take", lambda row: None)
+                held_back.setattr(holder.documents, "_apply_row", lambda row: None)
                 await cell.world.write_manifest(2, name="another-queue")
                 at = await _until_follower_knows(cell, holder, 2)
                 submitted = asyncio.ensure_future(caller.submit("a" * 16, job(), at=at))
@@ -86,7 +86,7 @@
     ) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             holder = await cell.until_ready()
-            monkeypatch.setattr(holder.documents, "_take", lambda row: None)
+            monkeypatch.setattr(holder.documents, "_apply_row", lambda row: None)
             await cell.world.write_manifest(2, more_routes=1)
             at = await _until_follower_knows(cell, holder, 2)
             caller = cell.caller()
--- a/tests/cell/test_operators.py
+++ b/tests/cell/test_operators.py
@@ -26,7 +26,7 @@
                         value = await got.json()
                     whys = [task["why"] for task in value["tasks"]]
                     assert any("confirmed" in why for why in whys)
-                    assert any("waits for room" in why for why in whys)
+                    assert any("waits for free capacity" in why for why in whys)
                     async with session.get(f"{base}/explain/job/unknown") as got:
                         assert got.status == 404
 
