--- a/tests/model/runners.py
+++ b/tests/model/runners.py
@@ -1,4 +1,4 @@
-"""Lives of runners, and the client that reaches them or does not."""
+"""Simulated runners, and the client that calls them or fails to reach them."""
 
 import asyncio
 import time
@@ -17,70 +17,71 @@
 from streamthread.platform.runners import RunningTask
 from streamthread.platform.runners import StartOrder
 
-from .schedule import Fate
-from .schedule import Fates
+from .schedule import Outcome
+from .schedule import Outcomes
 
-HOP_S = 0.001
-"""One way to a runner."""
+LATENCY_S = 0.001
+"""One-way latency to a runner."""
 
-SLOW_S = 0.4
-"""A slow answer takes so long."""
+SLOW_ANSWER_S = 0.4
+"""Delay of a slow answer."""
 
-LATE_S = 1.5
-"""A late order is carried out after so long: before its deadline passes."""
+LATE_ORDER_S = 1.5
+"""Delay until a late order is carried out, which is before its deadline."""
 
-STOP_S = 0.3
-"""A stop takes so long."""
+STOP_DURATION_S = 0.3
+"""Duration of a stop."""
 
-PLAIN_RUN_S = 1.5
-"""A run that ends by itself takes so long."""
+RUN_DURATION_S = 1.5
+"""Duration of a run that ends by itself."""
 
-CRASH_S = 0.01
-"""A run that crashes its runner does so after so long."""
+CRASH_DELAY_S = 0.01
+"""Delay after which a crashing run crashes its runner."""
 
 CRASHING_SPEC = "crashing"
-"""A run of this takes its runner down."""
+"""The spec of a run that crashes its runner."""
 
-LASTING_SPEC = "lasting"
-"""A run of this goes on until it is stopped."""
+LONG_RUNNING_SPEC = "lasting"
+"""The spec of a run that goes on until it is stopped."""
 
 FULL_CPU = 1000
-"""The room of each runner."""
+"""The cpu of each runner."""
 
-MOST_HOLD_MS = 10_000
-"""The runner cuts longer holds to this."""
+MAX_HOLD_MS = 10_000
+"""The runner shortens longer holds to this."""
 
-REFUSED_AS = {
-    Fate.UNHEALTHY: Refusal.UNHEALTHY,
-    Fate.UNHEALTHY_CLOCK: Refusal.UNHEALTHY,
-    Fate.MALFORMED: Refusal.MALFORMED,
-    Fate.ROOM: Refusal.NO_ROOM,
+REFUSAL_BY_OUTCOME = {
+    Outcome.UNHEALTHY: Refusal.UNHEALTHY,
+    Outcome.UNHEALTHY_CLOCK: Refusal.UNHEALTHY,
+    Outcome.MALFORMED: Refusal.MALFORMED,
+    Outcome.NO_CAPACITY: Refusal.NO_ROOM,
 }
 
 Run = tuple[str, int]
 """A task's name and the number of its run."""
 
 
-class Life:
-    """One life of a runner.
+class Incarnation:
+    """One incarnation of a runner.
 
-    :param rate: of its clock.
+    :param rate: the rate of its clock.
     :param started: called with each run that begins, when its order was sent, and
-        whether that is carried out late.
-    :param crashed: called when a run has taken this life down.
-    :param born_ms: tells it from other lives under its id; None: its id does.
-    :param clock_start_ms: what its clock said when it began; None: the model's time.
-    :param running: the runs that are there, and whether they are being stopped.
-    :param cpu: its room, which may shrink and grow.
-    :param resized_at_s: when that changed last.
+        whether the order is carried out late.
+    :param crashed: called when a run has crashed this incarnation.
+    :param born_ms: distinguishes incarnations with the same runner id; None if each
+        incarnation has an id of its own.
+    :param clock_start_ms: the first reading of its clock; None for the simulated time.
+    :param running: the current runs, and whether each of them is being stopped.
+    :param cpu: its capacity, which may shrink and grow.
+    :param resized_at_s: when the capacity last changed.
     """
 
     def __init__(
         self,
         runner_id: str,
         rate: float,
-        started: t.Callable[["Life", Run, float, bool], None],
-        crashed: t.Callable[["Life", Run], None],
+        started: t.Callable[["Incarnation", Run, float, bool], None],
+        crashed: t.Callable[["Incarnation", Run], None],
         born_ms: int | None = None,
         clock_start_ms: int | None = None,
     ) -> None:
@@ -93,16 +94,16 @@
         self.resized_at_s = 0.0
         self._crashed = crashed
         self.running: dict[Run, bool] = {}
-        self.dead = False
+        self.terminated = False
         self._rate = rate
         self._started = started
         self._fence = 0
         self._deadline_ms = 0
-        self._highest_over: dict[str, int] = {}
+        self._highest_ended: dict[str, int] = {}
         self._ended: list[EndedRun] = []
         self._end_count = 0
-        self._news = asyncio.Event()
-        self._lapse: asyncio.TimerHandle | None = None
+        self._end_added = asyncio.Event()
+        self._expiry: asyncio.TimerHandle | None = None
 
     @property
     def clock_ms(self) -> int:
@@ -118,9 +119,9 @@
             self._started(self, run, sent_at_s, late)
             if order.spec == CRASHING_SPEC:
                 loop = asyncio.get_running_loop()
-                loop.call_later(CRASH_S, self._crash, run)
-            elif order.spec != LASTING_SPEC:
-                self._later(PLAIN_RUN_S, run, EndKind.DONE)
+                loop.call_later(CRASH_DELAY_S, self._crash, run)
+            elif order.spec != LONG_RUNNING_SPEC:
+                self._end_later(RUN_DURATION_S, run, EndKind.DONE)
         return OrderReply(None, self.clock_ms)
 
     def _refuse_start(self, order: StartOrder) -> Refusal | None:
@@ -128,7 +129,7 @@
             return Refusal.FENCED
         if order.deadline_ms <= self.clock_ms:
             return Refusal.TOO_LATE
-        if order.run <= self._highest_over.get(order.task, 0):
+        if order.run <= self._highest_ended.get(order.task, 0):
             self._extend(order.deadline_ms)
             return Refusal.OLD_RUN
         return None
@@ -136,18 +137,18 @@
     def stop(self, run: Run, token: int) -> OrderReply:
         if self._is_fenced(token):
             return OrderReply(Refusal.FENCED, self.clock_ms)
-        self._note_over(run)
+        self._note_ended(run)
         if self.running.get(run) is False:
             self.running[run] = True
-            self._later(STOP_S, run, EndKind.STOPPED)
+            self._end_later(STOP_DURATION_S, run, EndKind.STOPPED)
         return OrderReply(None, self.clock_ms)
 
-    def touch(self, token: int) -> OrderReply:
+    def check_token(self, token: int) -> OrderReply:
         refusal = Refusal.FENCED if self._is_fenced(token) else None
         return OrderReply(refusal, self.clock_ms)
 
     def extend(self, token: int, confirmed: int, deadline_ms: int | None) -> bool:
-        """Take a hold; return whether it is fenced."""
+        """Handle a hold call; return whether it is fenced."""
         if self._is_fenced(token):
             return True
         self._ended = [ended for ended in self._ended if ended.number > confirmed]
@@ -155,18 +156,18 @@
             self._extend(deadline_ms)
         return False
 
-    async def until_end(self, within_s: float) -> None:
-        """Return once an end is to be told, or after a time."""
+    async def wait_for_end(self, within_s: float) -> None:
+        """Return once there is an end to report, or after a timeout."""
         if self._ended:
             return
-        self._news.clear()
+        self._end_added.clear()
         try:
             async with asyncio.timeout(within_s):
-                await self._news.wait()
+                await self._end_added.wait()
         except TimeoutError:
             return
 
-    def lists(self) -> HoldReply:
+    def listing(self) -> HoldReply:
         rows = tuple(RunningTask(task, run, "", 100.0) for task, run in self.running)
         return HoldReply(self.clock_ms, rows, tuple(self._ended), born_ms=self.born_ms)
 
@@ -174,11 +175,11 @@
         for run in list(self.running):
             self._end(run, kind)
 
-    def die(self) -> None:
-        """End this life with all that runs; what comes late finds nobody."""
-        self.dead = True
+    def terminate(self) -> None:
+        """End this incarnation and all its runs; late orders have no effect on it."""
+        self.terminated = True
         self.running.clear()
-        self._news.set()
+        self._end_added.set()
 
     def _crash(self, run: Run) -> None:
         if run in self.running:
@@ -189,133 +190,148 @@
         return token < self._fence
 
     def _extend(self, deadline_ms: int) -> None:
-        deadline_ms = min(deadline_ms, self.clock_ms + MOST_HOLD_MS)
+        deadline_ms = min(deadline_ms, self.clock_ms + MAX_HOLD_MS)
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
-        if self._lapse is not None:
-            self._lapse.cancel()
+        if self._expiry is not None:
+            self._expiry.cancel()
         left_s = (self._deadline_ms - self.clock_ms) / 1000 / self._rate
         loop = asyncio.get_running_loop()
-        self._lapse = loop.call_later(left_s, self.end_all, EndKind.LAPSED)
+        self._expiry = loop.call_later(left_s, self.end_all, EndKind.LAPSED)
 
-    def _later(self, after_s: float, run: Run, kind: EndKind) -> None:
+    def _end_later(self, after_s: float, run: Run, kind: EndKind) -> None:
         asyncio.get_running_loop().call_later(after_s, self._end, run, kind)
 
-    def _note_over(self, run: Run) -> None:
+    def _note_ended(self, run: Run) -> None:
         task, number = run
-        self._highest_over[task] = max(number, self._highest_over.get(task, 0))
+        self._highest_ended[task] = max(number, self._highest_ended.get(task, 0))
 
     def _end(self, run: Run, kind: EndKind) -> None:
         if self.running.pop(run, None) is None:
             return
-        self._note_over(run)
+        self._note_ended(run)
         self._end_count += 1
         self._ended.append(EndedRun(self._end_count, *run, kind, ""))
-        self._news.set()
+        self._end_added.set()
 
 
 class FakeRunners(RunnerClient):
-    """Calls the lives at their addresses, as the schedule lets it.
+    """Calls the runners at their addresses, with the faults of the schedule.
 
-    :param lives: who lives at an address now.
-    :param cut_until_s: on the monotonic clock, by address: unreachable until then.
+    :param incarnations: the current incarnation at each address.
+    :param unreachable_until_s: until when each address is unreachable, on the monotonic
+        clock.
     """
 
-    def __init__(self, fates: Fates, tell: t.Callable[[str], None]) -> None:
-        self._fates = fates
-        self._tell = tell
-        self.lives: dict[str, Life] = {}
-        self.cut_until_s: dict[str, float] = {}
+    def __init__(self, outcomes: Outcomes, record: t.Callable[[str], None]) -> None:
+        self._outcomes = outcomes
+        self._record = record
+        self.incarnations: dict[str, Incarnation] = {}
+        self.unreachable_until_s: dict[str, float] = {}
 
     async def start(self, address, runner_id, order, timeout_s):
         sent_at_s = time.monotonic()
 
-        def act(life: Life, late: bool = False) -> OrderReply:
-            return life.start(order, sent_at_s, late)
+        def act(incarnation: Incarnation, late: bool = False) -> OrderReply:
+            return incarnation.start(order, sent_at_s, late)
 
-        what = f"{order.task} run {order.run}, token {order.fencing_token}"
-        return await self._order("start", what, address, runner_id, timeout_s, act)
+        description = f"{order.task} run {order.run}, token {order.fencing_token}"
+        return await self._order(
+            "start", description, address, runner_id, timeout_s, act
+        )
 
     async def stop(self, address, runner_id, task, run, fencing_token, timeout_s):
-        def act(life: Life, late: bool = False) -> OrderReply:
-            return life.stop((task, run), fencing_token)
+        def act(incarnation: Incarnation, late: bool = False) -> OrderReply:
+            return incarnation.stop((task, run), fencing_token)
 
-        what = f"{task} run {run}, token {fencing_token}"
-        return await self._order("stop", what, address, runner_id, timeout_s, act)
+        description = f"{task} run {run}, token {fencing_token}"
+        return await self._order(
+            "stop", description, address, runner_id, timeout_s, act
+        )
 
     async def pace(
         self, address, runner_id, task, run, percent, fencing_token, timeout_s
     ):
-        def act(life: Life, late: bool = False) -> OrderReply:
-            return life.touch(fencing_token)
+        def act(incarnation: Incarnation, late: bool = False) -> OrderReply:
+            return incarnation.check_token(fencing_token)
 
-        what = f"{task} run {run}, token {fencing_token}"
-        return await self._order("pace", what, address, runner_id, timeout_s, act)
+        description = f"{task} run {run}, token {fencing_token}"
+        return await self._order(
+            "pace", description, address, runner_id, timeout_s, act
+        )
 
-    async def _order(self, kind, what, address, runner_id, timeout_s, act):
-        fate = self._fates.next(kind)
+    async def _order(self, kind, description, address, runner_id, timeout_s, act):
+        outcome = self._outcomes.next(kind)
         reply = None
         try:
-            life = await self._reach(fate, address, runner_id, timeout_s)
-            reply = await self._carry_out(fate, life, timeout_s, act)
+            incarnation = await self._reach(outcome, address, runner_id, timeout_s)
+            reply = await self._carry_out(outcome, incarnation, timeout_s, act)
             return reply
         finally:
             answer = reply and (reply.refusal.value if reply.refusal else "done")
-            self._tell(f"{kind} {what} at {runner_id}: {fate.value}, {answer}")
-
-    async def _carry_out(self, fate, life, timeout_s, act):
-        if fate in REFUSED_AS:
-            clock_ms = None if fate is Fate.UNHEALTHY else life.clock_ms
-            return OrderReply(REFUSED_AS[fate], clock_ms)
-        if fate is Fate.LATE:
-            asyncio.get_running_loop().call_later(LATE_S, _act_late, life, act)
+            self._record(
+                f"{kind} {description} at {runner_id}: {outcome.value}, {answer}"
+            )
+
+    async def _carry_out(self, outcome, incarnation, timeout_s, act):
+        if outcome in REFUSAL_BY_OUTCOME:
+            clock_ms = None if outcome is Outcome.UNHEALTHY else incarnation.clock_ms
+            return OrderReply(REFUSAL_BY_OUTCOME[outcome], clock_ms)
+        if outcome is Outcome.LATE:
+            asyncio.get_running_loop().call_later(
+                LATE_ORDER_S, _act_unless_terminated, incarnation, act
+            )
             await _no_answer(timeout_s)
-        reply = act(life)
-        if fate is Fate.UNANSWERED:
+        reply = act(incarnation)
+        if outcome is Outcome.UNANSWERED:
             await _no_answer(timeout_s)
-        await asyncio.sleep(SLOW_S if fate is Fate.SLOW else HOP_S)
+        await asyncio.sleep(SLOW_ANSWER_S if outcome is Outcome.SLOW else LATENCY_S)
         return reply
 
     async def hold(
         self, address, runner_id, token, confirmed, deadline_ms, wait_s, timeout_s
     ):
-        fate = self._fates.next("hold")
-        if fate is not Fate.FINE:
-            self._tell(f"hold at {runner_id}: {fate.value}")
+        outcome = self._outcomes.next("hold")
+        if outcome is not Outcome.FINE:
+            self._record(f"hold at {runner_id}: {outcome.value}")
         timeout_s += wait_s
-        life = await self._reach(fate, address, runner_id, timeout_s)
-        if fate in REFUSED_AS:
-            return REFUSED_AS[fate]
-        if fate is Fate.LATE:
+        incarnation = await self._reach(outcome, address, runner_id, timeout_s)
+        if outcome in REFUSAL_BY_OUTCOME:
+            return REFUSAL_BY_OUTCOME[outcome]
+        if outcome is Outcome.LATE:
             asyncio.get_running_loop().call_later(
-                LATE_S, life.extend, token, confirmed, deadline_ms
+                LATE_ORDER_S, incarnation.extend, token, confirmed, deadline_ms
             )
             await _no_answer(timeout_s)
-        if life.extend(token, confirmed, deadline_ms):
+        if incarnation.extend(token, confirmed, deadline_ms):
             return Refusal.FENCED
-        if fate is Fate.UNANSWERED:
+        if outcome is Outcome.UNANSWERED:
             await _no_answer(timeout_s)
-        await life.until_end(wait_s)
-        lists = life.lists()
-        await asyncio.sleep(SLOW_S if fate is Fate.SLOW else HOP_S)
-        if life.dead:
-            raise OutcomeUnknownError("the runner died", remedy="ask again")
-        return lists
-
-    async def _reach(self, fate, address, runner_id, timeout_s) -> Life:
-        await asyncio.sleep(HOP_S)
-        life = self.lives.get(address)
-        if life is None or fate is Fate.UNSENT:
-            raise StoreUnavailableError("nobody listens", remedy="try again")
-        if fate is Fate.LOST or time.monotonic() < self.cut_until_s.get(address, 0):
+        await incarnation.wait_for_end(wait_s)
+        listing = incarnation.listing()
+        await asyncio.sleep(SLOW_ANSWER_S if outcome is Outcome.SLOW else LATENCY_S)
+        if incarnation.terminated:
+            raise OutcomeUnknownError("the runner was terminated", remedy="ask again")
+        return listing
+
+    async def _reach(self, outcome, address, runner_id, timeout_s) -> Incarnation:
+        await asyncio.sleep(LATENCY_S)
+        incarnation = self.incarnations.get(address)
+        if incarnation is None or outcome is Outcome.UNSENT:
+            raise StoreUnavailableError("no runner listens there", remedy="try again")
+        if outcome is Outcome.LOST or time.monotonic() < self.unreachable_until_s.get(
+            address, 0
+        ):
             await _no_answer(timeout_s)
-        if life.runner_id != runner_id:
+        if incarnation.runner_id != runner_id:
             raise LifeOverError(runner_id)
-        return life
+        return incarnation
 
 
-def _act_late(life: Life, act: t.Callable[[Life, bool], OrderReply]) -> None:
-    if not life.dead:
-        act(life, True)
+def _act_unless_terminated(
+    incarnation: Incarnation, act: t.Callable[[Incarnation, bool], OrderReply]
+) -> None:
+    if not incarnation.terminated:
+        act(incarnation, True)
 
 
 async def _no_answer(timeout_s: float) -> t.NoReturn:
--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -1,4 +1,4 @@
-"""What goes wrong in one play of the model, and when."""
+"""The faults and events of one simulation, and when they happen."""
 
 import collections
 import enum
@@ -10,89 +10,91 @@
 
 from .clock import BEGAN_AT_S
 
-QUIET_AT_S = 14.0
-"""From this time of a play on nothing goes wrong any more."""
+FAULTS_END_AT_S = 14.0
+"""From this time of a simulation on, no further faults occur."""
 
-LONG_QUIET_S = 30.0
-"""By then all is as it would be had nothing gone wrong: see `world.GONE_WITHIN_S`."""
+SETTLED_AT_S = 30.0
+"""By then no effect of the faults is left: see `simulation.CLEANUP_WITHIN_S`."""
 
-SUBMITS_S = (0.0, 1.0, 2.5)
-"""When jobs are handed in."""
+SUBMIT_TIMES_S = (0.0, 1.0, 2.5)
+"""When jobs are submitted."""
 
-CALM_S = (0.0, 0.05, 1.0, 3.0)
-"""For how long the store and the holds are fine at first."""
+FAULT_FREE_TIMES_S = (0.0, 0.05, 1.0, 3.0)
+"""How long the store and the holds work without faults at first."""
 
-CANCELS_S = (0.0, 0.001, 0.002, 0.005, 0.05, 0.3, 1.0, 3.0, LONG_QUIET_S)
-"""When a job is cancelled, after the answer to its hand-in, as its starts are sent."""
+CANCEL_DELAYS_S = (0.0, 0.001, 0.002, 0.005, 0.05, 0.3, 1.0, 3.0, SETTLED_AT_S)
+"""How long after the answer to its submission a job is cancelled. Its starts are sent
+during the shortest of these delays."""
 
-EVENTS_S = (0.0, 0.002, 0.0055, 0.05, 0.3, 1.0, 2.5)
-"""When events begin: a cancel is recorded after 5 ms, its stop is sent then."""
+EVENT_DELAYS_S = (0.0, 0.002, 0.0055, 0.05, 0.3, 1.0, 2.5)
+"""When events begin. A cancel is recorded after 5 ms, and its stop is sent then."""
 
-LAST_S = (0.01, 0.3, 1.0, 2.5, 5.0)
-"""For how long events last: runs are held for 3.2 s."""
+EVENT_DURATIONS_S = (0.01, 0.3, 1.0, 2.5, 5.0)
+"""How long events last. Runs are held for 3.2 s."""
 
 
-class Fate(enum.Enum):
-    """What becomes of one call."""
+class Outcome(enum.Enum):
+    """What happens to one call."""
 
     FINE = "fine"
     SLOW = "slow"
-    """Done at once, answered late: newer answers pass this one."""
+    """Carried out at once, answered late: newer answers overtake this one."""
     LOST = "lost"
     UNANSWERED = "unanswered"
-    """Done at once, never answered."""
+    """Carried out at once, never answered."""
     LATE = "late"
-    """Done seconds later, after newer calls, and never answered."""
+    """Carried out seconds later, after newer calls, and never answered."""
     UNSENT = "unsent"
-    """Surely not sent."""
+    """Certainly not sent."""
     UNHEALTHY = "unhealthy"
-    """Turned away by a runner that is unwell: 429 or 503."""
+    """Refused by an unhealthy runner with status 429 or 503."""
     UNHEALTHY_CLOCK = "unhealthy-clock"
     """The same, with the runner's clock in the answer."""
     MALFORMED = "malformed"
-    ROOM = "room"
+    NO_CAPACITY = "room"
 
 
-class Kind(enum.Enum):
+class EventKind(enum.Enum):
     """What happens to the cell."""
 
     KILL = "kill"
-    """The holder dies; the next one takes over after the event."""
+    """The holder is killed; the next one acquires the cell after the event."""
     RELEASE = "release"
-    """The holder orders nothing new, and hands over after the event."""
-    OUST = "oust"
-    """The holder is cut off from the store and replaced, and lives on."""
-    STORE_AWAY = "store-away"
+    """The holder orders nothing new, and releases the cell after the event."""
+    REPLACE = "replace"
+    """The holder is cut off from the store and replaced, but goes on running."""
+    STORE_DOWN = "store-down"
     UNREACHABLE = "unreachable"
-    """The runner lives and hears no call."""
+    """The runner is up, but no call reaches it."""
     UNLISTED = "unlisted"
     REBOOT = "reboot"
-    """The runner dies; its next life comes after the event."""
+    """The runner is terminated; its next incarnation starts after the event."""
     RUNS_FAIL = "runs-fail"
     SHRINK = "shrink"
-    """The runner's room is a third for a while; what runs there goes on."""
+    """The runner's cpu is a third for a while; its runs go on."""
 
 
-class Work(enum.Enum):
+class Workload(enum.Enum):
     """The step of the job that is cancelled."""
 
-    LASTING = {"longRunning": True}
+    LONG_RUNNING = {"longRunning": True}
     PLAIN = {"estimateMs": 100}
     SPECULATIVE = {"estimateMs": 100, "speculative": True}
     CRASHING = {"estimateMs": 200}
-    """Each runner that starts it is down at once."""
-    CRASHING_COPIES = {"estimateMs": 200, "speculative": True}
+    """Each runner that starts it crashes at once."""
+    CRASHING_SPECULATIVE = {"estimateMs": 200, "speculative": True}
 
 
 @attrs.frozen
 class Event:
-    """Something that happens once.
+    """An event that happens once.
 
-    :param cancel_of: the number of the job after whose cancel; None: the play's begin.
+    :param after_cancel_of: the number of the job whose cancel precedes the event; None
+        if the event is timed from the start of the simulation.
     """
 
-    kind: Kind
-    cancel_of: int | None
+    kind: EventKind
+    after_cancel_of: int | None
     after_s: float
     for_s: float
     runner: int
@@ -100,56 +102,63 @@
 
 @attrs.frozen
 class JobPlan:
-    """A job that is handed in and cancelled.
+    """A job that is submitted and cancelled.
 
-    :param far_submit: it is handed in at a daemon that hears no holder, so that it
-        goes through the inbox.
-    :param far_cancel: the same of its cancel.
+    :param isolated_submit: it is submitted to a daemon that has no contact to a holder,
+        so that it goes through the inbox.
+    :param isolated_cancel: the same for its cancel.
     """
 
-    work: Work
+    workload: Workload
     count: int
     submit_after_s: float
     cancel_after_s: float
-    far_submit: bool
-    far_cancel: bool
+    isolated_submit: bool
+    isolated_cancel: bool
 
 
 @attrs.frozen
 class Schedule:
-    """One play. The fates of a kind of call are met in turn; all others are fine.
+    """The faults and events of one simulation.
 
-    :param calm_s: before this, the holds and the calls of the store are fine.
-    :param keeps_ids: a runner's next life has the id of the one before, and a clock and
-        ends that begin anew.
+    The outcomes of each kind of call are applied in order; all further calls succeed.
+
+    :param fault_free_s: before this time, holds and calls of the store succeed.
+    :param keeps_ids: a runner's next incarnation has the same id, but its clock and the
+        numbers of its ends start anew.
     """
 
     jobs: list[JobPlan]
-    calm_s: float
-    starts: list[Fate]
-    stops: list[Fate]
-    holds: list[Fate]
-    commits: list[Fate]
-    feeds: list[Fate]
+    fault_free_s: float
+    starts: list[Outcome]
+    stops: list[Outcome]
+    holds: list[Outcome]
+    commits: list[Outcome]
+    feeds: list[Outcome]
     events: list[Event]
     keeps_ids: bool = False
 
     @property
     def size(self) -> int:
-        """How much goes wrong."""
+        """The number of failing calls and events."""
         calls = (self.starts, self.stops, self.holds, self.commits, self.feeds)
-        wrong = sum(fate is not Fate.FINE for fates in calls for fate in fates)
-        return wrong + len(self.events)
+        failing = sum(
+            outcome is not Outcome.FINE for outcomes in calls for outcome in outcomes
+        )
+        return failing + len(self.events)
+
 
+class Outcomes:
+    """Yields the call outcomes of a schedule, as long as its calls may fail.
 
-class Fates:
-    """Hands out the fates of a schedule while calls may go wrong; None: never."""
+    :param schedule: None if no call fails.
+    """
 
     def __init__(self, schedule: Schedule | None) -> None:
-        self._left: dict[str, collections.deque[Fate]] = {}
+        self._left: dict[str, collections.deque[Outcome]] = {}
         if schedule is None:
             return
-        self._calm_until_s = BEGAN_AT_S + schedule.calm_s
+        self._fault_free_until_s = BEGAN_AT_S + schedule.fault_free_s
         self._left = {
             "start": collections.deque(schedule.starts),
             "stop": collections.deque(schedule.stops),
@@ -158,69 +167,84 @@
             "feed": collections.deque(schedule.feeds),
         }
 
-    def next(self, kind: str) -> Fate:
-        """Return what becomes of the next call of a kind."""
+    def next(self, kind: str) -> Outcome:
+        """Return the outcome of the next call of a kind."""
         left = self._left.get(kind)
         now_s = time.monotonic()
-        if not left or now_s >= BEGAN_AT_S + QUIET_AT_S:
-            return Fate.FINE
-        if kind not in ("start", "stop") and now_s < self._calm_until_s:
-            return Fate.FINE
+        if not left or now_s >= BEGAN_AT_S + FAULTS_END_AT_S:
+            return Outcome.FINE
+        if kind not in ("start", "stop") and now_s < self._fault_free_until_s:
+            return Outcome.FINE
         return left.popleft()
 
 
-ANY_CALL = [Fate.FINE, Fate.SLOW, Fate.LOST, Fate.UNANSWERED, Fate.LATE, Fate.UNSENT]
-REFUSALS = [Fate.UNHEALTHY, Fate.UNHEALTHY_CLOCK, Fate.MALFORMED]
-STORE_CALL = [Fate.FINE, Fate.LOST, Fate.UNANSWERED, Fate.LATE, Fate.UNSENT]
+CALL_OUTCOMES = [
+    Outcome.FINE,
+    Outcome.SLOW,
+    Outcome.LOST,
+    Outcome.UNANSWERED,
+    Outcome.LATE,
+    Outcome.UNSENT,
+]
+REFUSALS = [Outcome.UNHEALTHY, Outcome.UNHEALTHY_CLOCK, Outcome.MALFORMED]
+STORE_CALL_OUTCOMES = [
+    Outcome.FINE,
+    Outcome.LOST,
+    Outcome.UNANSWERED,
+    Outcome.LATE,
+    Outcome.UNSENT,
+]
 
 
-def _fates(fates: list[Fate], most: int) -> st.SearchStrategy[list[Fate]]:
-    return st.lists(st.sampled_from(fates), max_size=most)
+def _outcomes(
+    outcomes: list[Outcome], max_count: int
+) -> st.SearchStrategy[list[Outcome]]:
+    return st.lists(st.sampled_from(outcomes), max_size=max_count)
 
 
-ANY_WORK = (Work.LASTING, *Work)
+ANY_WORKLOAD = (Workload.LONG_RUNNING, *Workload)
 
-SOME_KEEP_IDS = st.booleans()
+ANY_KEEPS_IDS = st.booleans()
 
-CRASHING_WORK = (Work.CRASHING, Work.CRASHING_COPIES, Work.PLAIN)
+CRASHING_WORKLOADS = (Workload.CRASHING, Workload.CRASHING_SPECULATIVE, Workload.PLAIN)
 
 
 def schedules(
-    stop_refusals: list[Fate],
-    works: t.Sequence[Work] = ANY_WORK,
-    cancels_s: t.Sequence[float] = CANCELS_S,
-    keeps_ids: st.SearchStrategy[bool] = SOME_KEEP_IDS,
+    stop_refusals: list[Outcome],
+    workloads: t.Sequence[Workload] = ANY_WORKLOAD,
+    cancel_delays_s: t.Sequence[float] = CANCEL_DELAYS_S,
+    keeps_ids: st.SearchStrategy[bool] = ANY_KEEPS_IDS,
 ) -> st.SearchStrategy[Schedule]:
-    """Return schedules in which runners answer stops with some refusals.
+    """Return schedules in which runners answer stops with the given refusals.
 
-    :param keeps_ids: whether runners start again under their ids.
+    :param keeps_ids: whether restarted runners keep their ids.
     """
     job = st.builds(
         JobPlan,
-        work=st.sampled_from(works),
+        workload=st.sampled_from(workloads),
         count=st.integers(1, 2),
-        submit_after_s=st.sampled_from(SUBMITS_S),
-        cancel_after_s=st.sampled_from(cancels_s),
-        far_submit=st.booleans(),
-        far_cancel=st.booleans(),
+        submit_after_s=st.sampled_from(SUBMIT_TIMES_S),
+        cancel_after_s=st.sampled_from(cancel_delays_s),
+        isolated_submit=st.booleans(),
+        isolated_cancel=st.booleans(),
     )
     event = st.builds(
         Event,
-        kind=st.sampled_from([Kind.KILL, *Kind]),
-        cancel_of=st.sampled_from([None, 0, 1, 2]),
-        after_s=st.sampled_from(EVENTS_S),
-        for_s=st.sampled_from(LAST_S),
+        kind=st.sampled_from([EventKind.KILL, *EventKind]),
+        after_cancel_of=st.sampled_from([None, 0, 1, 2]),
+        after_s=st.sampled_from(EVENT_DELAYS_S),
+        for_s=st.sampled_from(EVENT_DURATIONS_S),
         runner=st.integers(0, 1),
     )
     return st.builds(
         Schedule,
         jobs=st.lists(job, min_size=1, max_size=3),
-        calm_s=st.sampled_from(CALM_S),
-        starts=_fates([*ANY_CALL, *REFUSALS, Fate.ROOM], 6),
-        stops=_fates([*ANY_CALL, *stop_refusals], 8),
-        holds=_fates([*ANY_CALL, *REFUSALS], 8),
-        commits=_fates(STORE_CALL, 6),
-        feeds=_fates([Fate.FINE, Fate.LOST, Fate.UNSENT], 3),
+        fault_free_s=st.sampled_from(FAULT_FREE_TIMES_S),
+        starts=_outcomes([*CALL_OUTCOMES, *REFUSALS, Outcome.NO_CAPACITY], 6),
+        stops=_outcomes([*CALL_OUTCOMES, *stop_refusals], 8),
+        holds=_outcomes([*CALL_OUTCOMES, *REFUSALS], 8),
+        commits=_outcomes(STORE_CALL_OUTCOMES, 6),
+        feeds=_outcomes([Outcome.FINE, Outcome.LOST, Outcome.UNSENT], 3),
         events=st.lists(event, max_size=4),
         keeps_ids=keeps_ids,
     )
--- /dev/null
+++ b/tests/model/simulation.py
@@ -0,0 +1,508 @@
+"""One simulation: the holders, runners, store and callers of a schedule."""
+
+import asyncio
+import collections
+import json
+import math
+import time
+
+import attrs
+
+from streamthread.cell import cell_pb2 as pb
+from streamthread.cell import LeaseTimes
+from streamthread.cell import TakenCell
+from streamthread.cell.rows import Head
+from streamthread.cell.rows import HEAD_KEY
+from streamthread.cell.rows import new_nonce
+from streamthread.cell.rows import Owner
+from streamthread.cell.rows import TABLE_HEAD
+from streamthread.gateway.forwarding import Forwarder
+from streamthread.gateway.forwarding import ForwardSettings
+from streamthread.holder import Holder
+from streamthread.holder.context import CellSettings
+from streamthread.holder.context import HolderContext
+from streamthread.platform.documents import RUNNERS_TABLE
+from streamthread.platform.manifest import decode_manifest
+from streamthread.platform.manifest import Manifest
+from streamthread.platform.runners import EndKind
+from streamthread.platform.store import StoredRow
+
+from .clock import BEGAN_AT_S
+from .runners import CRASHING_SPEC
+from .runners import FakeRunners
+from .runners import FULL_CPU
+from .runners import Incarnation
+from .runners import LONG_RUNNING_SPEC
+from .runners import Run
+from .schedule import Event
+from .schedule import EventKind
+from .schedule import FAULTS_END_AT_S
+from .schedule import Outcomes
+from .schedule import Schedule
+from .schedule import Workload
+from .store import FakeStore
+from .store import StoreView
+
+CLEANUP_WITHIN_S = 15.0
+"""Within this time after the last fault, nothing is left of an ended job: runs that no
+holder extends expire within 10.3 s, and runs that an earlier holder left behind within
+11.6 s."""
+
+INBOX_DELAY_S = 4.0
+"""A holder reads a cancel from the inbox within this time, while the store works."""
+
+ACQUIRE_DELAY_S = 1.6
+"""No daemon acquires the cell from a live holder before the holder's lease validity
+has ended."""
+
+LEASE_VALIDITY_S = LeaseTimes().trust_over_s
+"""A holder that lost the cell may send orders for this long."""
+
+CLOCK_RATES = (1.0, 0.98)
+"""Rates of the runners' clocks. The second clock is as slow as the user documentation
+allows."""
+
+RESTART_DELAY_S = 1.0
+"""A runner that a run has crashed restarts after this time."""
+
+MAX_CRASHES = 5
+"""After the third crash, a task may be started twice more (user documentation)."""
+
+RESIZE_KNOWN_S = 4.5
+"""A reduced capacity counts after this time: `contactMs` and one heartbeat."""
+
+FIRST_CLOCKS_MS = (0, 50_000, 10_000_000)
+"""First clock readings of incarnations with the same id: behind the previous clock or
+ahead of it."""
+
+TASK_CPU = 300
+"""The cpu of each task; three tasks fit on a runner."""
+
+SPECS = {
+    Workload.LONG_RUNNING: LONG_RUNNING_SPEC,
+    Workload.CRASHING: CRASHING_SPEC,
+    Workload.CRASHING_SPECULATIVE: CRASHING_SPEC,
+}
+
+POOL = "desk"
+PART = "main"
+ACCOUNT = "ann"
+"""The client account that submits all jobs if the simulation has an account."""
+
+MANIFEST = {
+    "version": 1,
+    "routes": [{"name": POOL, "service": POOL, "maxAttempts": 3}],
+    "services": [{"name": POOL}],
+}
+
+
+def _manifest(limit_cpu: int) -> Manifest:
+    """Return the configuration, with an account if there is a limit."""
+    value: dict[str, object] = dict(MANIFEST)
+    if limit_cpu:
+        value["tenants"] = [{"name": ACCOUNT, "maximum": {"cpu": limit_cpu}}]
+    return decode_manifest(json.dumps(value).encode()).manifest
+
+
+@attrs.frozen
+class Documents:
+    """The operator's configuration."""
+
+    manifest: Manifest
+    waves: dict[int, object] = attrs.field(factory=dict)
+
+
+class IsolatedLease:
+    """The lease of a daemon that knows no holder on another daemon."""
+
+    owner = None
+    holding = False
+    address = ""
+
+    def hears_holder(self) -> bool:
+        return False
+
+
+class Simulation:
+    """Runs a schedule, and records which properties it violates.
+
+    :param limit_cpu: the cpu limit of the only account; 0 if there is no account.
+    :param violations: descriptions of the violations; empty if there are none.
+    :param trace: what happened, one line per event.
+    """
+
+    def __init__(self, schedule: Schedule, limit_cpu: int = 0) -> None:
+        self.schedule = schedule
+        self._limit_cpu = limit_cpu
+        self._documents = Documents(_manifest(limit_cpu))
+        self.violations: list[str] = []
+        self.trace: list[str] = []
+        outcomes = Outcomes(schedule)
+        self._outcomes = outcomes
+        self._store = FakeStore()
+        self._holder_view = StoreView(self._store, outcomes)
+        self._callers_view = StoreView(self._store, Outcomes(None))
+        self._runners = FakeRunners(outcomes, self.record)
+        self._holders: list[Holder] = []
+        self._tasks: list[asyncio.Task[None]] = []
+        self._restarts: list[asyncio.Task[None]] = []
+        self._token = 0
+        self._incarnation_count = 0
+        self._started: dict[Run, Incarnation] = {}
+        # The number of runners that each task has crashed.
+        self._crashes: collections.Counter[str] = collections.Counter()
+        self._plans = {
+            f"{number:016x}": job for number, job in enumerate(schedule.jobs)
+        }
+        self._cancels = [asyncio.Event() for _ in schedule.jobs]
+        self._faults_until_s = BEGAN_AT_S + FAULTS_END_AT_S
+        # The time after which no start may be sent, by job id.
+        self._last_start_at_s: dict[str, float] = {}
+        self._in_inbox: set[str] = set()
+
+    def record(self, line: str) -> None:
+        """Add a line to the trace, with the current time."""
+        self.trace.append(f"{time.monotonic() - BEGAN_AT_S:7.3f} {line}")
+
+    def _add_violation(self, what: str) -> None:
+        self.violations.append(what)
+        self.record(f"VIOLATED: {what}")
+
+    # The simulation.
+
+    async def execute(self) -> None:
+        """Run the schedule and check what is left."""
+        for number in range(len(CLOCK_RATES)):
+            self._start_runner(number)
+        await self._acquire_cell(0.0)
+        async with asyncio.TaskGroup() as group:
+            for job_id in self._plans:
+                group.create_task(self._submit_and_cancel(job_id))
+            for event in self.schedule.events:
+                group.create_task(self._run_event(event))
+        await self._wait_for_cleanup()
+        self._check_holders()
+        for task in (*self._tasks, *self._restarts):
+            task.cancel()
+        await asyncio.gather(*self._tasks, *self._restarts, return_exceptions=True)
+
+    def _check_long_running(self, job_id: str) -> None:
+        """Long after the last fault, all long-running tasks run, each once."""
+        plan = self._plans[job_id]
+        quiet = time.monotonic() > self._faults_until_s + CLEANUP_WITHIN_S
+        if not quiet or plan.workload is not Workload.LONG_RUNNING or self._limit_cpu:
+            return
+        incarnations = self._runners.incarnations.values()
+        tasks = [
+            task for incarnation in incarnations for task, _ in incarnation.running
+        ]
+        own = sorted(task for task in tasks if task.startswith(job_id))
+        if len(own) != plan.count:
+            self._add_violation(
+                f"of {plan.count} tasks only these run: {', '.join(own)}"
+            )
+
+    def _check_holders(self) -> None:
+        """Check that no holder failed for another reason than the loss of the cell."""
+        for task in self._tasks:
+            if task.done() and not task.cancelled() and task.exception():
+                self._add_violation(f"a holder failed: {task.exception()!r}")
+        for holder in self._holders:
+            if holder.context.failures.counts:
+                self._add_violation(
+                    f"a holder failed: {holder.context.failures.counts}"
+                )
+
+    async def _wait_for_cleanup(self) -> None:
+        quiet_at_s = max(self._faults_until_s, time.monotonic())
+        await asyncio.sleep(quiet_at_s - time.monotonic())
+        while remaining := self._remaining():
+            if time.monotonic() > quiet_at_s + CLEANUP_WITHIN_S:
+                self._add_violation(f"not cleaned up: {', '.join(remaining)}")
+                return
+            await asyncio.sleep(0.1)
+
+    def _remaining(self) -> list[str]:
+        """Return what is left of ended jobs: their runs, and the capacity they occupy.
+
+        The capacity is unknown while the last holder still reads the rows.
+        """
+        runs = [
+            f"{task} run {run} on {incarnation.runner_id}"
+            for incarnation in self._runners.incarnations.values()
+            for task, run in incarnation.running
+        ]
+        if not self._holders[-1].active:
+            return [*runs, "no holder"]
+        capacity = [
+            f"capacity for run {attempt.run} at {attempt.runner_id}"
+            for job in self._holders[-1].engine.open_jobs()
+            for attempt in job.attempts()
+        ]
+        return runs + capacity
+
+    # Callers.
+
+    async def _submit_and_cancel(self, job_id: str) -> None:
+        plan = self._plans[job_id]
+        step = {"count": plan.count, "cpu": TASK_CPU, "memMb": 1, **plan.workload.value}
+        spec = SPECS.get(plan.workload, "")
+        body = json.dumps({"spec": spec, "steps": [step]}).encode()
+        await asyncio.sleep(plan.submit_after_s)
+        await self._ask(pb.SUBMIT, job_id, plan.isolated_submit, body)
+        await asyncio.sleep(plan.cancel_after_s)
+        self._check_long_running(job_id)
+        cancelled = self._cancels[int(job_id, 16)]
+        if not plan.isolated_cancel:
+            cancelled.set()
+        reply = await self._ask(pb.CANCEL, job_id, plan.isolated_cancel)
+        self._last_start_at_s[job_id] = time.monotonic()
+        if reply.state == "pending":
+            self._in_inbox.add(job_id)
+            self._last_start_at_s[job_id] += INBOX_DELAY_S
+        cancelled.set()
+
+    async def _ask(
+        self, kind: int, job_id: str, isolated: bool, body: bytes = b""
+    ) -> pb.CallReply:
+        """Ask until there is an answer that a caller accepts.
+
+        A cancel is also confirmed by the answer that there is no such job.
+        """
+        forwarder = Forwarder(
+            IsolatedLease(),
+            None,
+            self._callers_view,
+            PART,
+            lambda: None if isolated else self._first_active_holder(),
+            ForwardSettings(),
+        )
+        request = pb.CallRequest(
+            kind=kind,
+            route=POOL,
+            job_id=job_id,
+            job=body,
+            configuration_version=1,
+            pool=POOL,
+            account=ACCOUNT if self._limit_cpu else "",
+            checks_keys=True,
+        )
+        while True:
+            reply = await forwarder.ask(request, time.monotonic() + 3.0)
+            name = pb.CallOutcome.Name(reply.outcome)
+            self.record(f"{pb.CallKind.Name(kind)} {job_id}: {name} {reply.state}")
+            unknown = reply.outcome == pb.UNKNOWN_JOB and kind == pb.CANCEL
+            if reply.outcome == pb.OK or unknown:
+                return reply
+            await asyncio.sleep(0.2)
+
+    # Holders.
+
+    def _first_active_holder(self) -> Holder | None:
+        """Return the holder that callers ask; it may have lost the cell unknowingly."""
+        return next((holder for holder in self._holders if holder.active), None)
+
+    async def _acquire_cell(self, earlier_orders_s: float) -> None:
+        """Have the next daemon acquire the cell.
+
+        :param earlier_orders_s: how long an earlier holder may still send orders.
+        """
+        self._token += 1
+        head = StoredRow(
+            TABLE_HEAD, PART, HEAD_KEY, Head(new_nonce(), self._token).encode()
+        )
+        written = self._store.write([], [head])
+        now_s = time.monotonic()
+        daemon_id = f"daemon-{self._token}"
+        owner = Owner(daemon_id, daemon_id, "", self._token)
+        taken = TakenCell(owner, written.version, now_s, now_s + earlier_orders_s)
+        self._holder_view = StoreView(self._store, self._outcomes)
+        context = HolderContext(
+            daemon_id,
+            self._holder_view,
+            self._runners,
+            None,
+            None,
+            self._documents,
+            CellSettings(),
+        )
+        holder = Holder(context, taken)
+        self._holders.append(holder)
+        self._tasks.append(asyncio.create_task(holder.run()))
+        self.record(f"{daemon_id} holds the cell")
+
+    async def _kill_holder(self, gap_s: float) -> None:
+        task = self._tasks[-1]
+        task.cancel()
+        await asyncio.wait([task])
+        token = self._token
+        await asyncio.sleep(gap_s)
+        if token == self._token:
+            await self._acquire_cell(LEASE_VALIDITY_S)
+
+    async def _release_cell(self, for_s: float) -> None:
+        holder = self._holders[-1]
+        holder.trust.begin_release()
+        await asyncio.sleep(for_s)
+        holder.give_up("handed over")
+        if holder is self._holders[-1]:
+            await self._acquire_cell(0.0)
+
+    async def _replace_holder(self, for_s: float) -> None:
+        token = self._token
+        self._holder_view.down_until_s = time.monotonic() + ACQUIRE_DELAY_S + for_s
+        await asyncio.sleep(ACQUIRE_DELAY_S)
+        if token == self._token:
+            await self._acquire_cell(LEASE_VALIDITY_S)
+
+    # Runners.
+
+    def _start_runner(self, number: int) -> None:
+        self._incarnation_count += 1
+        count = self._incarnation_count
+        keeps_id = self.schedule.keeps_ids
+        incarnation = Incarnation(
+            f"runner-{number}" if keeps_id else f"runner-{number}-incarnation-{count}",
+            CLOCK_RATES[number],
+            self._on_started,
+            self._on_crashed,
+            born_ms=count if keeps_id else None,
+            clock_start_ms=FIRST_CLOCKS_MS[count % 3] if keeps_id else None,
+        )
+        self._runners.incarnations[_address(number)] = incarnation
+        self._list_runner(number)
+
+    def _list_runner(self, number: int) -> None:
+        incarnation = self._runners.incarnations[_address(number)]
+        entry = {
+            "service": POOL,
+            "address": _address(number),
+            "zone": "north",
+            "state": "ready",
+            "capacity": {"cpu": incarnation.cpu, "memMb": 100},
+            "labels": [],
+            "born": incarnation.born_ms,
+        }
+        value = json.dumps(entry).encode()
+        self._store.write(
+            [], [StoredRow(RUNNERS_TABLE, "", incarnation.runner_id, value)]
+        )
+
+    def _unlist_runner(self, incarnation: Incarnation) -> None:
+        self._store.write([], [], [StoredRow(RUNNERS_TABLE, "", incarnation.runner_id)])
+
+    def _on_started(
+        self, incarnation: Incarnation, run: Run, sent_at_s: float, late: bool
+    ) -> None:
+        self.record(f"{run[0]} run {run[1]} begins on {incarnation.runner_id}")
+        before = self._started.get(run)
+        if before is not None and not _is_later_incarnation(incarnation, before):
+            self._add_violation(f"run {run[1]} began on {before.runner_id}, too")
+        self._started[run] = incarnation
+        job_id = run[0].split(".")[0]
+        if not late and sent_at_s > self._last_start_at_s.get(job_id, math.inf):
+            self._add_violation(f"run {run[1]} began after the cancel was confirmed")
+        known = time.monotonic() > incarnation.resized_at_s + RESIZE_KNOWN_S
+        if known and not late and len(incarnation.running) * TASK_CPU > incarnation.cpu:
+            self._add_violation(
+                f"{run[0]} run {run[1]} exceeds the capacity of {incarnation.runner_id}"
+            )
+        self._check_limit(run)
+        if self._plans[job_id].workload.value.get("speculative"):
+            return
+        for other in self._runners.incarnations.values():
+            for task, number in other.running:
+                if task == run[0] and number != run[1]:
+                    self._add_violation(f"runs {number} and {run[1]} at once")
+
+    def _check_limit(self, run: Run) -> None:
+        """Check that no run exceeds its account's limit, even if its order is late."""
+        incarnations = self._runners.incarnations.values()
+        cpu = TASK_CPU * sum(len(incarnation.running) for incarnation in incarnations)
+        if self._limit_cpu and cpu > self._limit_cpu:
+            self._add_violation(f"{run[0]} run {run[1]} raises its account to {cpu}")
+
+    def _on_crashed(self, incarnation: Incarnation, run: Run) -> None:
+        self.record(f"{run[0]} run {run[1]} crashes {incarnation.runner_id}")
+        self._crashes[run[0]] += 1
+        if self._crashes[run[0]] > MAX_CRASHES:
+            self._add_violation(f"{run[0]} has crashed {self._crashes[run[0]]} runners")
+        numbers = range(len(CLOCK_RATES))
+        incarnations = self._runners.incarnations
+        number = next(
+            n for n in numbers if incarnations.get(_address(n)) is incarnation
+        )
+        incarnation.terminate()
+        restart = asyncio.ensure_future(self._restart_runner(number, RESTART_DELAY_S))
+        self._restarts.append(restart)
+
+    async def _restart_runner(self, number: int, for_s: float) -> None:
+        """Terminate a runner; its next incarnation starts after a delay."""
+        incarnation = self._runners.incarnations.pop(_address(number))
+        incarnation.terminate()
+        if not self.schedule.keeps_ids:
+            self._unlist_runner(incarnation)
+        await asyncio.sleep(for_s)
+        self._start_runner(number)
+
+    async def _resize_runner(self, incarnation: Incarnation, event: Event) -> None:
+        """Reduce a runner's capacity for a while, and list both changes."""
+        for cpu in (FULL_CPU // 3, FULL_CPU):
+            incarnation.cpu = cpu
+            incarnation.resized_at_s = time.monotonic()
+            if self._runners.incarnations.get(_address(event.runner)) is incarnation:
+                self._list_runner(event.runner)
+            await asyncio.sleep(event.for_s)
+
+    # Events.
+
+    async def _run_event(self, event: Event) -> None:
+        if event.after_cancel_of is not None:
+            await self._cancels[event.after_cancel_of % len(self._cancels)].wait()
+        await asyncio.sleep(event.after_s)
+        self.record(f"{event.kind.value} for {event.for_s}, runner {event.runner}")
+        address = _address(event.runner)
+        incarnation = self._runners.incarnations.get(address)
+        until_s = time.monotonic() + event.for_s
+        self._faults_until_s = max(self._faults_until_s, until_s)
+        if event.kind is EventKind.KILL:
+            await self._kill_holder(event.for_s)
+        elif event.kind is EventKind.RELEASE:
+            await self._release_cell(event.for_s)
+        elif event.kind is EventKind.REPLACE:
+            await self._replace_holder(event.for_s)
+        elif event.kind is EventKind.STORE_DOWN:
+            self._holder_view.down_until_s = self._callers_view.down_until_s = until_s
+            # No holder can read the inbox earlier.
+            for job_id in self._in_inbox:
+                self._last_start_at_s[job_id] = until_s + INBOX_DELAY_S
+        elif event.kind is EventKind.UNREACHABLE:
+            self._runners.unreachable_until_s[address] = until_s
+        elif incarnation is not None:
+            await self._run_runner_event(incarnation, event)
+
+    async def _run_runner_event(self, incarnation: Incarnation, event: Event) -> None:
+        if event.kind is EventKind.SHRINK:
+            await self._resize_runner(incarnation, event)
+        elif event.kind is EventKind.RUNS_FAIL:
+            incarnation.end_all(EndKind.FAILED)
+        elif event.kind is EventKind.UNLISTED:
+            self._unlist_runner(incarnation)
+            await asyncio.sleep(event.for_s)
+            if self._runners.incarnations.get(_address(event.runner)) is incarnation:
+                self._list_runner(event.runner)
+        elif event.kind is EventKind.REBOOT:
+            await self._restart_runner(event.runner, event.for_s)
+
+
+def _is_later_incarnation(incarnation: Incarnation, before: Incarnation) -> bool:
+    """Whether an incarnation has replaced a terminated one under the same id."""
+    return (
+        before.terminated
+        and incarnation.runner_id == before.runner_id
+        and incarnation is not before
+    )
+
+
+def _address(number: int) -> str:
+    return f"127.0.0.1:{7000 + number}"
--- a/tests/model/store.py
+++ b/tests/model/store.py
@@ -1,4 +1,4 @@
-"""The platform's row store in memory, as one daemon reaches it."""
+"""The platform's row store in memory, and a daemon's client of it."""
 
 import asyncio
 import time
@@ -11,21 +11,24 @@
 from streamthread.platform.store import StoredRow
 from streamthread.platform.store import TransactResult
 
-from .schedule import Fate
-from .schedule import Fates
+from .schedule import Outcome
+from .schedule import Outcomes
 
-CALL_S = 0.005
-"""What a call takes."""
+CALL_DURATION_S = 0.005
+"""Duration of a call."""
 
-SILENCE_S = 0.8
-"""A call without an answer is given up after so long."""
+ANSWER_TIMEOUT_S = 0.8
+"""Timeout of a call that gets no answer."""
 
-LATE_S = 0.5
-"""A late transaction takes effect so much later, should its conditions hold."""
+LATE_COMMIT_S = 0.5
+"""Delay until a late transaction takes effect, if its conditions hold by then."""
 
 
 class FakeStore:
-    """The rows, linear; what each daemon meets on its way is a `StoreView`'s."""
+    """The rows, with linearizable transactions.
+
+    Each daemon's `StoreView` adds the faults that the daemon meets.
+    """
 
     def __init__(self) -> None:
         self._rows: dict[tuple[str, str, str], StoredRow] = {}
@@ -38,11 +41,11 @@
         puts: t.Sequence[StoredRow],
         drops: t.Sequence[StoredRow] = (),
     ) -> TransactResult:
-        """Do a transaction now, if its conditions hold."""
-        for wanted in conditions:
-            row = self._rows.get((wanted.table, wanted.part, wanted.key))
+        """Apply a transaction now if its conditions hold."""
+        for condition in conditions:
+            row = self._rows.get((condition.table, condition.part, condition.key))
             present = row is not None and row.value is not None
-            if (row.version if row and present else 0) != wanted.version:
+            if (row.version if row and present else 0) != condition.version:
                 return TransactResult(committed=False)
         self.version += 1
         dropped = [StoredRow(row.table, row.part, row.key) for row in drops]
@@ -55,12 +58,12 @@
         return TransactResult(committed=True, version=self.version)
 
     def rows(self, table: str, after: int = 0) -> list[StoredRow]:
-        """Return a table's rows that changed after a version, dropped ones too."""
+        """Return a table's rows that changed after a version, dropped rows included."""
         found = [row for row in self._rows.values() if row.table == table]
         return [row for row in found if row.version > after]
 
-    async def until_change(self, within_s: float) -> None:
-        """Return at the next change of any row, or after a time."""
+    async def wait_for_change(self, within_s: float) -> None:
+        """Return at the next change of any row, or after a timeout."""
         try:
             async with asyncio.timeout(within_s):
                 await self._changed.wait()
@@ -69,15 +72,15 @@
 
 
 class StoreView:
-    """The store's client of one daemon.
+    """One daemon's client of the store.
 
-    :param away_until_s: on the monotonic clock: until then the store refuses calls.
+    :param down_until_s: until when the store refuses calls, on the monotonic clock.
     """
 
-    def __init__(self, store: FakeStore, fates: Fates) -> None:
+    def __init__(self, store: FakeStore, outcomes: Outcomes) -> None:
         self._store = store
-        self._fates = fates
-        self.away_until_s = 0.0
+        self._outcomes = outcomes
+        self.down_until_s = 0.0
 
     async def transact(
         self,
@@ -85,14 +88,14 @@
         puts: t.Sequence[StoredRow],
         drops: t.Sequence[StoredRow] = (),
     ) -> TransactResult:
-        fate = await self._reach("commit")
-        if fate is Fate.LATE:
+        outcome = await self._reach("commit")
+        if outcome is Outcome.LATE:
             loop = asyncio.get_running_loop()
-            loop.call_later(LATE_S, self._store.write, conditions, puts, drops)
-        if fate in (Fate.LATE, Fate.LOST):
+            loop.call_later(LATE_COMMIT_S, self._store.write, conditions, puts, drops)
+        if outcome in (Outcome.LATE, Outcome.LOST):
             await _no_answer()
         result = self._store.write(conditions, puts, drops)
-        if fate is Fate.UNANSWERED:
+        if outcome is Outcome.UNANSWERED:
             await _no_answer()
         return result
 
@@ -104,32 +107,35 @@
     read = read_all
 
     async def feed(self, table: str, after: int, wait_s: float) -> Page:
-        if await self._reach("feed" if table.startswith("cell-") else "") is Fate.LOST:
+        if (
+            await self._reach("feed" if table.startswith("cell-") else "")
+            is Outcome.LOST
+        ):
             await _no_answer()
         until_s = time.monotonic() + wait_s
         while not (rows := self._store.rows(table, after)):
             left_s = until_s - time.monotonic()
             if left_s <= 0:
                 break
-            await self._store.until_change(left_s)
-            if time.monotonic() < self.away_until_s:
+            await self._store.wait_for_change(left_s)
+            if time.monotonic() < self.down_until_s:
                 raise _refused()
         return Page(tuple(rows), self._store.version)
 
-    async def _reach(self, kind: str) -> Fate:
-        await asyncio.sleep(CALL_S)
-        if time.monotonic() < self.away_until_s:
+    async def _reach(self, kind: str) -> Outcome:
+        await asyncio.sleep(CALL_DURATION_S)
+        if time.monotonic() < self.down_until_s:
             raise _refused()
-        fate = self._fates.next(kind)
-        if fate is Fate.UNSENT:
+        outcome = self._outcomes.next(kind)
+        if outcome is Outcome.UNSENT:
             raise _refused()
-        return fate
+        return outcome
 
 
 def _refused() -> StoreUnavailableError:
-    return StoreUnavailableError("the store refuses", remedy="try again")
+    return StoreUnavailableError("the store refuses calls", remedy="try again")
 
 
 async def _no_answer() -> t.NoReturn:
-    await asyncio.sleep(SILENCE_S)
-    raise OutcomeUnknownError("no answer came", remedy="look what was done")
+    await asyncio.sleep(ANSWER_TIMEOUT_S)
+    raise OutcomeUnknownError("no answer came", remedy="read the rows back")
--- a/tests/model/test_stops.py
+++ b/tests/model/test_stops.py
@@ -1,4 +1,4 @@
-"""Whatever goes wrong meanwhile: what a job started is gone once it is cancelled."""
+"""Nothing of a cancelled job goes on running, whichever calls or daemons fail."""
 
 import attrs
 import logbook
@@ -10,141 +10,157 @@
 from hypothesis import strategies as st
 
 from .clock import virtual_time
-from .schedule import CANCELS_S
-from .schedule import CRASHING_WORK
+from .schedule import CANCEL_DELAYS_S
+from .schedule import CRASHING_WORKLOADS
 from .schedule import Event
-from .schedule import Fate
+from .schedule import EventKind
 from .schedule import JobPlan
-from .schedule import Kind
-from .schedule import LONG_QUIET_S
+from .schedule import Outcome
 from .schedule import REFUSALS
 from .schedule import Schedule
 from .schedule import schedules
-from .schedule import Work
-from .world import TASK_CPU
-from .world import World
+from .schedule import SETTLED_AT_S
+from .schedule import Workload
+from .simulation import Simulation
+from .simulation import TASK_CPU
 
-PLAYS = 120
-"""Of each test; one takes some 60 ms."""
+MAX_EXAMPLES = 120
+"""Number of examples per test; one takes some 60 ms."""
 
-explored = settings(
-    max_examples=PLAYS,
+explore = settings(
+    max_examples=MAX_EXAMPLES,
     phases=(Phase.explicit, Phase.generate, Phase.shrink),
     suppress_health_check=[HealthCheck.too_slow],
 )
 
 
-def play(schedule: Schedule, limit_cpu: int = 0) -> None:
-    """Play a schedule; fail with its trace where it breaks a property."""
+def simulate(schedule: Schedule, limit_cpu: int = 0) -> None:
+    """Simulate a schedule; fail with its trace if it violates a property."""
 
-    async def run() -> World:
-        world = World(schedule, limit_cpu)
-        await world.play()
-        return world
+    async def run() -> Simulation:
+        simulation = Simulation(schedule, limit_cpu)
+        await simulation.execute()
+        return simulation
 
     with virtual_time() as runner, logbook.NullHandler().applicationbound():
-        world = runner.run(run())
-    trace = "\n".join(world.trace)
-    assert not world.broken, f"{world.broken}\n{schedule}\n{trace}"
+        simulation = runner.run(run())
+    trace = "\n".join(simulation.trace)
+    assert not simulation.violations, f"{simulation.violations}\n{schedule}\n{trace}"
 
 
-def plain(cancel_after_s: float = 1.0, **parts: object) -> Schedule:
-    """Return the cancel of a lasting job, with only some things going wrong."""
+def cancel_schedule(cancel_after_s: float = 1.0, **fields: object) -> Schedule:
+    """Return a schedule that cancels a long-running job, with the given faults only."""
     kinds = ("starts", "stops", "holds", "commits", "feeds", "events")
-    job = JobPlan(Work.LASTING, 1, 0.0, cancel_after_s, False, False)
-    return Schedule([job], 0.0, **dict.fromkeys(kinds, ()) | parts)
+    job = JobPlan(Workload.LONG_RUNNING, 1, 0.0, cancel_after_s, False, False)
+    return Schedule([job], 0.0, **dict.fromkeys(kinds, ()) | fields)
 
 
-STOP_LOST_WITH_ITS_HOLDER = plain(
-    stops=[Fate.LOST], events=[Event(Kind.KILL, 0, 0.05, 0.01, 0)]
+STOP_LOST_AND_HOLDER_KILLED = cancel_schedule(
+    stops=[Outcome.LOST], events=[Event(EventKind.KILL, 0, 0.05, 0.01, 0)]
 )
-HOLDER_DIES_BEFORE_ITS_STOP = plain(events=[Event(Kind.KILL, 0, 0.0055, 0.01, 0)])
-CANCELLED_IN_A_RELEASE = plain(events=[Event(Kind.RELEASE, 0, 0.0, 0.3, 0)])
-STOP_REFUSED = plain(stops=[Fate.UNHEALTHY])
-STOP_OF_NOTHING_REFUSED = plain(starts=[Fate.LOST] * 5, stops=[Fate.UNHEALTHY])
-START_AND_STOP_REFUSED = plain(
-    cancel_after_s=LONG_QUIET_S,
-    starts=[Fate.LOST, Fate.UNHEALTHY],
-    stops=[Fate.UNHEALTHY],
+HOLDER_KILLED_BEFORE_STOP = cancel_schedule(
+    events=[Event(EventKind.KILL, 0, 0.0055, 0.01, 0)]
+)
+CANCELLED_DURING_RELEASE = cancel_schedule(
+    events=[Event(EventKind.RELEASE, 0, 0.0, 0.3, 0)]
+)
+STOP_REFUSED = cancel_schedule(stops=[Outcome.UNHEALTHY])
+STOP_REFUSED_WITHOUT_RUN = cancel_schedule(
+    starts=[Outcome.LOST] * 5, stops=[Outcome.UNHEALTHY]
+)
+START_AND_STOP_REFUSED = cancel_schedule(
+    cancel_after_s=SETTLED_AT_S,
+    starts=[Outcome.LOST, Outcome.UNHEALTHY],
+    stops=[Outcome.UNHEALTHY],
 )
 
 
-@explored
+@explore
 @given(schedules(stop_refusals=[]))
-@example(STOP_LOST_WITH_ITS_HOLDER)
-@example(HOLDER_DIES_BEFORE_ITS_STOP)
-@example(CANCELLED_IN_A_RELEASE)
+@example(STOP_LOST_AND_HOLDER_KILLED)
+@example(HOLDER_KILLED_BEFORE_STOP)
+@example(CANCELLED_DURING_RELEASE)
 def test_nothing_of_a_cancelled_job_is_left(schedule: Schedule) -> None:
-    play(schedule)
+    simulate(schedule)
 
 
-@explored
+@explore
 @given(schedules(stop_refusals=REFUSALS))
 @example(STOP_REFUSED)
-@example(STOP_OF_NOTHING_REFUSED)
+@example(STOP_REFUSED_WITHOUT_RUN)
 @example(START_AND_STOP_REFUSED)
-def test_nothing_is_left_where_runners_refuse_stops(schedule: Schedule) -> None:
-    play(schedule)
+def test_nothing_is_left_if_runners_refuse_stops(schedule: Schedule) -> None:
+    simulate(schedule)
 
 
-def restarts(for_s: float, *more: Event) -> Schedule:
-    """Return two lasting tasks whose runner starts again under its id, twice."""
+def restart_schedule(for_s: float, *more: Event) -> Schedule:
+    """Return two long-running tasks whose runner restarts twice under its id."""
     events = [
-        Event(Kind.REBOOT, None, 1.0, for_s, 0),
-        Event(Kind.REBOOT, None, 2.5, for_s, 0),
+        Event(EventKind.REBOOT, None, 1.0, for_s, 0),
+        Event(EventKind.REBOOT, None, 2.5, for_s, 0),
     ]
-    schedule = plain(LONG_QUIET_S, events=[*events, *more], keeps_ids=True)
+    schedule = cancel_schedule(SETTLED_AT_S, events=[*events, *more], keeps_ids=True)
     job = attrs.evolve(schedule.jobs[0], count=2)
     return attrs.evolve(schedule, jobs=[job])
 
 
-RESTARTED_BEHIND_A_CUT = restarts(0.3, Event(Kind.UNREACHABLE, None, 0.3, 2.5, 0))
-RESTARTED_UNDER_THE_NEXT_HOLDER = restarts(0.3, Event(Kind.KILL, None, 1.0, 0.3, 0))
+RESTARTED_WHILE_UNREACHABLE = restart_schedule(
+    0.3, Event(EventKind.UNREACHABLE, None, 0.3, 2.5, 0)
+)
+RESTARTED_UNDER_NEXT_HOLDER = restart_schedule(
+    0.3, Event(EventKind.KILL, None, 1.0, 0.3, 0)
+)
 
 
-@explored
-@given(schedules(REFUSALS, cancels_s=[LONG_QUIET_S], keeps_ids=st.just(True)))
-@example(restarts(0.01))
-@example(restarts(1.0))
-@example(RESTARTED_BEHIND_A_CUT)
-@example(RESTARTED_UNDER_THE_NEXT_HOLDER)
-def test_lasting_tasks_run_once_on_runners_that_keep_their_ids(
+@explore
+@given(schedules(REFUSALS, cancel_delays_s=[SETTLED_AT_S], keeps_ids=st.just(True)))
+@example(restart_schedule(0.01))
+@example(restart_schedule(1.0))
+@example(RESTARTED_WHILE_UNREACHABLE)
+@example(RESTARTED_UNDER_NEXT_HOLDER)
+def test_long_running_tasks_run_once_on_runners_that_keep_their_ids(
     schedule: Schedule,
 ) -> None:
-    play(schedule)
+    simulate(schedule)
 
 
-@explored
-@given(schedules(REFUSALS, CRASHING_WORK, [LONG_QUIET_S]))
+@explore
+@given(schedules(REFUSALS, CRASHING_WORKLOADS, [SETTLED_AT_S]))
 def test_a_task_that_crashes_its_runners_is_given_up(schedule: Schedule) -> None:
-    """Whatever is lost, late or replaced: five runners at most go down under it."""
-    play(schedule)
+    """It crashes at most five runners, even if calls are lost or late and holders are
+    replaced."""
+    simulate(schedule)
 
 
-@explored
-@given(schedules(REFUSALS, cancels_s=[*CANCELS_S, LONG_QUIET_S, LONG_QUIET_S]))
+@explore
+@given(
+    schedules(REFUSALS, cancel_delays_s=[*CANCEL_DELAYS_S, SETTLED_AT_S, SETTLED_AT_S])
+)
 def test_no_account_is_over_its_limit(schedule: Schedule) -> None:
-    """Two of up to six tasks may run: orders come late, runs are copied and stopped,
-    and holders are replaced, while the others wait."""
-    play(schedule, limit_cpu=2 * TASK_CPU)
+    """Two of up to six tasks may run at once. Meanwhile orders arrive late, runs get
+    speculative copies or are stopped, and holders are replaced."""
+    simulate(schedule, limit_cpu=2 * TASK_CPU)
+
 
+def inbox_job(cancel_after_s: float) -> JobPlan:
+    """Return a long-running job that reaches the holder through the inbox only.
 
-def left_in_the_inbox(cancel_after_s: float) -> JobPlan:
-    """Return a lasting job that no holder took from its caller, but its cancel."""
-    return JobPlan(Work.LASTING, 1, 0.0, cancel_after_s, True, False)
+    Its cancel goes to the holder directly.
+    """
+    return JobPlan(Workload.LONG_RUNNING, 1, 0.0, cancel_after_s, True, False)
 
 
-def test_a_holder_denies_no_job_that_waits_in_the_inbox() -> None:
+def test_a_holder_reports_no_job_in_the_inbox_as_unknown() -> None:
     schedule = attrs.evolve(
-        plain(feeds=[Fate.LOST]), jobs=[left_in_the_inbox(cancel_after_s=0.05)]
+        cancel_schedule(feeds=[Outcome.LOST]), jobs=[inbox_job(cancel_after_s=0.05)]
     )
-    play(schedule)
+    simulate(schedule)
 
 
-def test_a_replaced_holder_denies_no_job_that_the_next_one_has() -> None:
-    """It is cut off from the store, and does not know yet that it was replaced."""
+def test_a_replaced_holder_reports_no_job_of_its_successor_as_unknown() -> None:
+    """The holder is cut off from the store and does not know that it was replaced."""
     schedule = attrs.evolve(
-        plain(events=[Event(Kind.OUST, None, 0.3, 2.5, 0)]),
-        jobs=[left_in_the_inbox(cancel_after_s=3.0)],
+        cancel_schedule(events=[Event(EventKind.REPLACE, None, 0.3, 2.5, 0)]),
+        jobs=[inbox_job(cancel_after_s=3.0)],
     )
-    play(schedule)
+    simulate(schedule)
