--- a/tests/model/simulation.py
+++ b/tests/model/simulation.py
@@ -58,7 +58,7 @@
 LEASE_VALIDITY_S = LeaseTimes().trust_over_s
 """A holder that lost the cell may send orders for this long."""
 
-CLOCK_RATES = (1.0, 0.98)
+RATES = (1.0, 0.98)
 """Rates of the runners' clocks. The second clock is as slow as the user documentation
 allows."""
 
@@ -140,12 +140,12 @@
         outcomes = Outcomes(schedule)
         self._outcomes = outcomes
         self._store = FakeStore()
-        self._holder_view = StoreView(self._store, outcomes)
+        self._view = StoreView(self._store, outcomes)
         self._callers_view = StoreView(self._store, Outcomes(None))
         self._runners = FakeRunners(outcomes, self.record)
         self._holders: list[Holder] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._restarts: list[asyncio.Task[None]] = []
+        self._reboots: list[asyncio.Task[None]] = []
         self._token = 0
         self._incarnation_count = 0
         self._started: dict[Run, Incarnation] = {}
@@ -172,8 +172,8 @@
 
     async def execute(self) -> None:
         """Run the schedule and check what is left."""
-        for number in range(len(CLOCK_RATES)):
-            self._start_runner(number)
+        for number in range(len(RATES)):
+            self._boot(number)
         await self._acquire_cell(0.0)
         async with asyncio.TaskGroup() as group:
             for job_id in self._plans:
@@ -182,9 +182,9 @@
                 group.create_task(self._run_event(event))
         await self._wait_for_cleanup()
         self._check_holders()
-        for task in (*self._tasks, *self._restarts):
+        for task in (*self._tasks, *self._reboots):
             task.cancel()
-        await asyncio.gather(*self._tasks, *self._restarts, return_exceptions=True)
+        await asyncio.gather(*self._tasks, *self._reboots, return_exceptions=True)
 
     def _check_long_running(self, job_id: str) -> None:
         """Long after the last fault, all long-running tasks run, each once."""
@@ -316,10 +316,10 @@
         daemon_id = f"daemon-{self._token}"
         owner = Owner(daemon_id, daemon_id, "", self._token)
         taken = TakenCell(owner, written.version, now_s, now_s + earlier_orders_s)
-        self._holder_view = StoreView(self._store, self._outcomes)
+        self._view = StoreView(self._store, self._outcomes)
         context = HolderContext(
             daemon_id,
-            self._holder_view,
+            self._view,
             self._runners,
             None,
             None,
@@ -350,29 +350,29 @@
 
     async def _replace_holder(self, for_s: float) -> None:
         token = self._token
-        self._holder_view.down_until_s = time.monotonic() + ACQUIRE_DELAY_S + for_s
+        self._view.down_until_s = time.monotonic() + ACQUIRE_DELAY_S + for_s
         await asyncio.sleep(ACQUIRE_DELAY_S)
         if token == self._token:
             await self._acquire_cell(LEASE_VALIDITY_S)
 
     # Runners.
 
-    def _start_runner(self, number: int) -> None:
+    def _boot(self, number: int) -> None:
         self._incarnation_count += 1
         count = self._incarnation_count
         keeps_id = self.schedule.keeps_ids
         incarnation = Incarnation(
             f"runner-{number}" if keeps_id else f"runner-{number}-incarnation-{count}",
-            CLOCK_RATES[number],
+            RATES[number],
             self._on_started,
             self._on_crashed,
             born_ms=count if keeps_id else None,
             clock_start_ms=FIRST_CLOCKS_MS[count % 3] if keeps_id else None,
         )
         self._runners.incarnations[_address(number)] = incarnation
-        self._list_runner(number)
+        self._list(number)
 
-    def _list_runner(self, number: int) -> None:
+    def _list(self, number: int) -> None:
         incarnation = self._runners.incarnations[_address(number)]
         entry = {
             "service": POOL,
@@ -388,7 +388,7 @@
             [], [StoredRow(RUNNERS_TABLE, "", incarnation.runner_id, value)]
         )
 
-    def _unlist_runner(self, incarnation: Incarnation) -> None:
+    def _unlist(self, incarnation: Incarnation) -> None:
         self._store.write([], [], [StoredRow(RUNNERS_TABLE, "", incarnation.runner_id)])
 
     def _on_started(
@@ -427,23 +427,23 @@
         self._crashes[run[0]] += 1
         if self._crashes[run[0]] > MAX_CRASHES:
             self._add_violation(f"{run[0]} has crashed {self._crashes[run[0]]} runners")
-        numbers = range(len(CLOCK_RATES))
+        numbers = range(len(RATES))
         incarnations = self._runners.incarnations
         number = next(
             n for n in numbers if incarnations.get(_address(n)) is incarnation
         )
         incarnation.terminate()
-        restart = asyncio.ensure_future(self._restart_runner(number, RESTART_DELAY_S))
-        self._restarts.append(restart)
+        reboot = asyncio.ensure_future(self._reboot(number, RESTART_DELAY_S))
+        self._reboots.append(reboot)
 
-    async def _restart_runner(self, number: int, for_s: float) -> None:
+    async def _reboot(self, number: int, for_s: float) -> None:
         """Terminate a runner; its next incarnation starts after a delay."""
         incarnation = self._runners.incarnations.pop(_address(number))
         incarnation.terminate()
         if not self.schedule.keeps_ids:
-            self._unlist_runner(incarnation)
+            self._unlist(incarnation)
         await asyncio.sleep(for_s)
-        self._start_runner(number)
+        self._boot(number)
 
     async def _resize_runner(self, incarnation: Incarnation, event: Event) -> None:
         """Reduce a runner's capacity for a while, and list both changes."""
@@ -451,7 +451,7 @@
             incarnation.cpu = cpu
             incarnation.resized_at_s = time.monotonic()
             if self._runners.incarnations.get(_address(event.runner)) is incarnation:
-                self._list_runner(event.runner)
+                self._list(event.runner)
             await asyncio.sleep(event.for_s)
 
     # Events.
@@ -472,7 +472,7 @@
         elif event.kind is EventKind.REPLACE:
             await self._replace_holder(event.for_s)
         elif event.kind is EventKind.STORE_DOWN:
-            self._holder_view.down_until_s = self._callers_view.down_until_s = until_s
+            self._view.down_until_s = self._callers_view.down_until_s = until_s
             # No holder can read the inbox earlier.
             for job_id in self._in_inbox:
                 self._last_start_at_s[job_id] = until_s + INBOX_DELAY_S
@@ -487,12 +487,12 @@
         elif event.kind is EventKind.RUNS_FAIL:
             incarnation.end_all(EndKind.FAILED)
         elif event.kind is EventKind.UNLISTED:
-            self._unlist_runner(incarnation)
+            self._unlist(incarnation)
             await asyncio.sleep(event.for_s)
             if self._runners.incarnations.get(_address(event.runner)) is incarnation:
-                self._list_runner(event.runner)
+                self._list(event.runner)
         elif event.kind is EventKind.REBOOT:
-            await self._restart_runner(event.runner, event.for_s)
+            await self._reboot(event.runner, event.for_s)
 
 
 def _is_later_incarnation(incarnation: Incarnation, before: Incarnation) -> bool:
