--- a/tests/model/simulation.py
+++ b/tests/model/simulation.py
@@ -198,9 +198,7 @@
         ]
         own = sorted(task for task in tasks if task.startswith(job_id))
         if len(own) != plan.count:
-            self._add_violation(
-                f"of {plan.count} tasks only these run: {', '.join(own)}"
-            )
+            self._add_violation(f"of {plan.count} tasks, these run: {', '.join(own)}")
 
     def _check_holders(self) -> None:
         """Check that no holder failed for another reason than the loss of the cell."""
