--- a/tests/cell/support.py
+++ b/tests/cell/support.py
@@ -1,4 +1,4 @@
-"""A cell's daemons in the test's own loop, against the stand-in platform."""
+"""Runs a cell's daemons in the test's event loop, against the stand-in platform."""
 
 import asyncio
 import contextlib
@@ -14,19 +14,19 @@
 from streamthread.standins.cell import RunnerStandin
 from streamthread.standins.cell.world import BACK_S
 
-WITHIN_S = 20.0
-POLL_S = 0.02
+TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
 
 
 async def until(
-    condition: t.Callable[[], t.Any], what: str, within_s: float = WITHIN_S
+    condition: t.Callable[[], t.Any], what: str, within_s: float = TIMEOUT_S
 ) -> t.Any:
     """Wait until a condition holds and return what it returned."""
-    give_up_at_s = time.monotonic() + within_s
-    while not (found := condition()):
-        assert time.monotonic() < give_up_at_s, f"not within {within_s} s: {what}"
-        await asyncio.sleep(POLL_S)
-    return found
+    deadline_at_s = time.monotonic() + within_s
+    while not (result := condition()):
+        assert time.monotonic() < deadline_at_s, f"not within {within_s} s: {what}"
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return result
 
 
 def job(run_s: float = 0.1, count: int = 1, **step: t.Any) -> bytes:
@@ -37,7 +37,7 @@
 
 
 class Caller:
-    """Speaks to the daemons as the users' clients do."""
+    """Calls the daemons as the users' clients do."""
 
     def __init__(
         self, daemons: t.Sequence[CellDaemon], pool: str, key: str = ""
@@ -75,10 +75,12 @@
         return str(answer.get("state", status))
 
     async def until_state(self, job_id: str, state: str, at: int = 0) -> None:
-        give_up_at_s = time.monotonic() + WITHIN_S
-        while (seen := await self.state(job_id, at)) != state:
-            assert time.monotonic() < give_up_at_s, f"{job_id} is {seen}, not {state}"
-            await asyncio.sleep(POLL_S)
+        deadline_at_s = time.monotonic() + TIMEOUT_S
+        while (current := await self.state(job_id, at)) != state:
+            assert time.monotonic() < deadline_at_s, (
+                f"{job_id} is {current}, not {state}"
+            )
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class Cell:
@@ -116,7 +118,7 @@
         return t.cast(CellDaemon, await until(ready, "a holder that reaches all"))
 
     async def write_accounts(self, version: int, *accounts: dict[str, t.Any]) -> None:
-        """Write a manifest with client accounts; return once all daemons know it."""
+        """Write a manifest with client accounts; return once all daemons have it."""
         self.world.accounts = list(accounts)
         await self.world.write_manifest(version)
 
@@ -127,17 +129,17 @@
         await until(in_force, f"version {version} in force everywhere")
 
     async def until_crashes(self, count: int) -> None:
-        """Wait until tasks have taken so many runners down."""
+        """Wait until tasks have crashed this many runners."""
         await until(lambda: len(self.world.crashes) >= count, f"{count} crashes")
 
-    async def crash_one(self) -> None:
-        """Let a runner crash on which something runs; return once it is back."""
+    async def crash_busy_runner(self) -> None:
+        """Crash a runner that has a running task; return once it has restarted."""
         await self.restart(lambda runner: bool(runner.running()))
 
     async def restart(
         self, choose: t.Callable[[RunnerStandin], bool], back_s: float = BACK_S
     ) -> RunnerStandin:
-        """Let a runner crash; return its next life once it is there."""
+        """Crash a runner; return its next incarnation once that is up."""
         world = self.world
         machine = next(
             machine
@@ -147,7 +149,7 @@
         assert machine.runner is not None
         machine.runner.kill()
         world.cloud.crash(machine, back_s, world.keeps_ids)
-        await until(lambda: machine.state == "up", "the runner is back")
+        await until(lambda: machine.state == "up", "the runner has restarted")
         assert machine.runner is not None
         return machine.runner
 
@@ -163,7 +165,7 @@
     cpu: int = 16000,
     keeps_ids: bool = False,
 ) -> t.AsyncIterator[Cell]:
-    """Run a platform and daemons until the block ends."""
+    """Run the stand-in platform and daemons until the block ends."""
     world = CellWorld(pools, cpu, keeps_ids)
     await world.open()
     daemons = [
--- a/tests/cell/test_accounts.py
+++ b/tests/cell/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts over real connections: who is let in, and how much runs of each."""
+"""Client accounts over real connections: which calls are allowed, and the limits."""
 
 import asyncio
 import contextlib
@@ -20,20 +20,20 @@
 ANN_KEY = "ann-key-4e1f9a"
 ANN_OTHER_KEY = "ann-other-77b02c"
 BOB_KEY = "bob-key-c93d55"
-STRANGE_KEY = "strange-key-0a6e18"
-KEYS = (ANN_KEY, ANN_OTHER_KEY, BOB_KEY, STRANGE_KEY)
+UNKNOWN_KEY = "strange-key-0a6e18"
+KEYS = (ANN_KEY, ANN_OTHER_KEY, BOB_KEY, UNKNOWN_KEY)
 
 JOB_ID = "a" * 16
 OTHER_ID = "b" * 16
 
-MOST_RUNNING = 2
-"""Tasks of ann's at once: her limit is as much processor."""
+MAX_RUNNING = 2
+"""How many tasks of ann run at once under her cpu limit."""
 
-MANY_LINES = 10**6
-"""A second: none is dropped."""
+MAX_LINES_PER_S = 10**6
+"""Lines per second: a limit under which no line is dropped."""
 
 IN_FORCE_WITHIN_S = 3.0
-"""A change of the configuration counts at each daemon after so long at the latest."""
+"""A change of the configuration is in force at each daemon within this time."""
 
 
 def account(name: str, *keys: str, cpu: int = 0) -> dict[str, t.Any]:
@@ -56,7 +56,7 @@
 
 
 async def _statuses(caller: Caller, job_id: str, at: int) -> list[int]:
-    """Return what a caller is answered to each kind of call."""
+    """Return the status of the answer to each kind of call."""
     answers = [
         await caller.call("POST", job_id, job(), at),
         await caller.call("GET", job_id, at=at),
@@ -67,8 +67,8 @@
 
 
 class TestStranger:
-    @pytest.mark.parametrize("key", ["", STRANGE_KEY])
-    async def test_is_refused_everything_and_nothing_is_done(self, key: str) -> None:
+    @pytest.mark.parametrize("key", ["", UNKNOWN_KEY])
+    async def test_is_refused_every_call_without_effect(self, key: str) -> None:
         async with cell_with(ANN) as cell:
             stranger = cell.caller(key=key)
             for at in (0, 1):
@@ -78,37 +78,37 @@
             assert not holder.holder.engine.jobs
             assert not cell.world.started
 
-    async def test_is_told_where_a_key_belongs(self) -> None:
+    async def test_is_told_which_header_carries_the_key(self) -> None:
         async with cell_with(ANN) as cell:
             _, answer, headers = await cell.caller().call("GET", JOB_ID)
             assert not answer
             assert "Streamthread-Credential" in headers["WWW-Authenticate"]
 
-    async def test_a_large_body_is_not_waited_for(self) -> None:
+    async def test_a_large_body_is_refused_without_reading_it(self) -> None:
         async with cell_with(ANN) as cell:
-            stranger = cell.caller(key=STRANGE_KEY)
+            stranger = cell.caller(key=UNKNOWN_KEY)
             assert await stranger.submit(JOB_ID, b"x" * 3_000_000) == 401
 
 
 class TestKeys:
-    async def test_each_key_of_an_account_is_as_good_as_the_other(self) -> None:
+    async def test_all_keys_of_an_account_are_equivalent(self) -> None:
         async with cell_with(ANN, BOB) as cell:
-            ann, again = cell.caller(key=ANN_KEY), cell.caller(key=ANN_OTHER_KEY)
+            ann, other_key = cell.caller(key=ANN_KEY), cell.caller(key=ANN_OTHER_KEY)
             assert await ann.submit(JOB_ID, job()) == 200
-            assert await again.submit(JOB_ID, job(), at=1) == 200
-            await again.until_state(JOB_ID, "completed")
+            assert await other_key.submit(JOB_ID, job(), at=1) == 200
+            await other_key.until_state(JOB_ID, "completed")
             assert len(cell.world.started) == 1
 
-    async def test_a_key_that_is_taken_away_opens_nothing_but_its_jobs_run_on(
+    async def test_a_removed_key_is_refused_but_its_jobs_run_on(
         self,
     ) -> None:
         async with cell_with(ANN, BOB) as cell:
-            ann, again = cell.caller(key=ANN_KEY), cell.caller(key=ANN_OTHER_KEY)
+            ann, other_key = cell.caller(key=ANN_KEY), cell.caller(key=ANN_OTHER_KEY)
             assert await ann.submit(JOB_ID, job(run_s=0.5)) == 200
             await cell.write_accounts(3, account("ann", ANN_OTHER_KEY), BOB)
             for at in (0, 1):
                 assert await _statuses(ann, OTHER_ID, at) == [401] * 4
-            await again.until_state(JOB_ID, "completed")
+            await other_key.until_state(JOB_ID, "completed")
 
     async def test_a_new_key_and_a_new_account_are_served_at_once(self) -> None:
         async with cell_with(ANN) as cell:
@@ -116,20 +116,20 @@
             for at, job_id in enumerate((JOB_ID, OTHER_ID)):
                 assert await cell.caller(key=BOB_KEY).submit(job_id, job(), at) == 200
 
-    async def test_a_daemon_that_is_behind_serves_no_key_that_the_holder_knows_is_gone(
+    async def test_a_daemon_with_an_old_configuration_serves_no_removed_key(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with cell_with(ANN) as cell:
             holder = await cell.until_ready()
             behind = next(d for d in cell.daemons if d is not holder)
-            with monkeypatch.context() as held_back:
-                held_back.setattr(behind.documents, "_apply_row", lambda row: None)
+            with monkeypatch.context() as patch:
+                patch.setattr(behind.documents, "_apply_row", lambda row: None)
                 cell.world.accounts = [account("ann", ANN_OTHER_KEY)]
                 await cell.world.write_manifest(3)
                 manifest = holder.documents
                 await until(
                     lambda: manifest.manifest and manifest.manifest.version == 3,
-                    "known at the holder",
+                    "version 3 at the holder",
                     IN_FORCE_WITHIN_S,
                 )
                 ann = cell.caller(key=ANN_KEY)
@@ -151,21 +151,21 @@
 
 class TestLimit:
     async def _until_done(self, cell: Cell, caller: Caller, at: int) -> int:
-        """Wait for the job's end; return how many of its tasks ran at once at most."""
-        most = 0
+        """Wait for the job's end; return the maximum of tasks that ran at once."""
+        max_running = 0
         while await caller.state(JOB_ID, at) != "completed":
-            most = max(most, len(list(cell.world.running())))
+            max_running = max(max_running, len(list(cell.world.running())))
             await asyncio.sleep(0.01)
-        return most
+        return max_running
 
-    async def test_no_more_of_an_account_runs_at_once(self) -> None:
-        async with cell_with(account("ann", ANN_KEY, cpu=100 * MOST_RUNNING)) as cell:
+    async def test_bounds_how_many_tasks_run_at_once(self) -> None:
+        async with cell_with(account("ann", ANN_KEY, cpu=100 * MAX_RUNNING)) as cell:
             ann = cell.caller(key=ANN_KEY)
             assert await ann.submit(JOB_ID, job(run_s=0.2, count=6)) == 200
-            assert await self._until_done(cell, ann, 0) == MOST_RUNNING
+            assert await self._until_done(cell, ann, 0) == MAX_RUNNING
 
-    async def test_nor_while_the_holder_is_replaced(self) -> None:
-        limited = account("ann", ANN_KEY, cpu=100 * MOST_RUNNING)
+    async def test_bounds_them_while_the_holder_is_replaced(self) -> None:
+        limited = account("ann", ANN_KEY, cpu=100 * MAX_RUNNING)
         async with cell_with(limited, daemon_count=3) as cell:
             first = await cell.until_ready()
             at = next(n for n, d in enumerate(cell.daemons) if d is not first)
@@ -174,16 +174,16 @@
             assert await ann.submit(JOB_ID, body, at) == 200
             await until(lambda: cell.world.started, "the first start")
             await first.stop()
-            assert await self._until_done(cell, ann, at) == MOST_RUNNING
+            assert await self._until_done(cell, ann, at) == MAX_RUNNING
 
-    async def test_what_can_never_run_is_refused_at_once(self) -> None:
+    async def test_a_job_that_can_never_run_is_refused_at_once(self) -> None:
         async with cell_with(account("ann", ANN_KEY, cpu=99)) as cell:
             ann = cell.caller(key=ANN_KEY)
             status, _, headers = await ann.call("POST", JOB_ID, job())
             assert status == 429
             assert headers["Retry-After"]
 
-    async def test_explain_says_what_a_task_waits_for(self) -> None:
+    async def test_explain_names_what_a_task_waits_for(self) -> None:
         async with cell_with(account("ann", ANN_KEY, cpu=100)) as cell:
             ann = cell.caller(key=ANN_KEY)
             assert await ann.submit(JOB_ID, job(run_s=1.0, count=2)) == 200
@@ -199,17 +199,19 @@
         return await response.text()
 
 
-class TestNoKeyIsTold:
-    async def test_by_any_output_of_a_whole_run(self) -> None:
+class TestKeysStaySecret:
+    async def test_in_all_outputs_of_a_whole_run(self) -> None:
         """Logs, the operators' port, answers, and rows that this system writes."""
         lines: list[bytes] = []
-        told: list[str] = []
+        outputs: list[str] = []
 
         def write(data: bytes) -> int:
             lines.append(data)
             return len(data)
 
-        with JsonLineHandler("test", "DEBUG", MANY_LINES, write).applicationbound():
+        with JsonLineHandler(
+            "test", "DEBUG", MAX_LINES_PER_S, write
+        ).applicationbound():
             async with cell_with(ANN, BOB, account("eve", BOB_KEY)) as cell:
                 for key in KEYS:
                     caller = cell.caller(key=key)
@@ -218,19 +220,21 @@
                 await cell.write_accounts(3, account("ann", ANN_KEY, ANN_OTHER_KEY))
                 holder = await cell.until_ready()
                 await holder.stop()
-                left = next(n for n, d in enumerate(cell.daemons) if d is not holder)
+                remaining = next(
+                    n for n, d in enumerate(cell.daemons) if d is not holder
+                )
                 ann = cell.caller(key=ANN_KEY)
-                told.append(str(await ann.call("GET", JOB_ID, at=left)))
+                outputs.append(str(await ann.call("GET", JOB_ID, at=remaining)))
                 late = CellDaemon(decode_node(cell.world.node_settings("late")))
                 await late.start()
                 for path in ("/metrics", "/status", "/runners", "/accounts"):
-                    told.append(await _read(late, path))
+                    outputs.append(await _read(late, path))
                 await late.stop()
                 rows = cell.world.store.rows.items()
-                told += [str(row) for (table, _, _), row in rows if table != "op"]
-                told += [repr(d.documents.manifest) for d in cell.daemons]
+                outputs += [str(row) for (table, _, _), row in rows if table != "op"]
+                outputs += [repr(d.documents.manifest) for d in cell.daemons]
         assert len(lines) > 10
         for key in KEYS:
             secret = key.rsplit("-", 1)[1]
             assert not [line for line in lines if secret.encode() in line]
-            assert not [text for text in told if secret in text]
+            assert not [text for text in outputs if secret in text]
--- a/tests/cell/test_cancels.py
+++ b/tests/cell/test_cancels.py
@@ -1,13 +1,11 @@
-"""A confirmed cancel ends what runs of its job, whatever its runners answer.
+"""A confirmed cancel ends all runs of its job, whatever their runners answer.
 
-The incident: on real processes a few lasting tasks went on for good, though the
-cancels of their jobs had been confirmed and all trouble was over. It came about
-where a stop did not take effect at its first try: the holder took any answer as
-"stopped", also that of a runner that was unwell and had done nothing; and it
-took a run that was to be stopped, and that its runner went on listing, as one
-that was just stopping. Nothing sent the stop again, and each call that listed
-the run extended it. What proved it: a runner that refuses one stop runs the
-task for as long as it is held.
+Guards against long-running tasks that went on for good after the cancels of their jobs
+had been confirmed and all faults were over. A stop had no effect at the first attempt:
+the holder took every answer for a stop, even that of an unhealthy runner that had done
+nothing, and took a run that the runner still listed for one that was just stopping. It
+did not send the stop again, and each hold call that listed the run extended it. A
+runner that refuses one stop then runs the task for as long as it is held.
 """
 
 from .support import Caller
@@ -16,17 +14,17 @@
 from .support import running_cell
 from .support import until
 
-GONE_WITHIN_S = 6.0
-"""Twice what a cancel may take until nothing of its job runs (3 s)."""
+CANCEL_TIMEOUT_S = 6.0
+"""Twice the time within which a cancel must end all runs of its job (3 s)."""
 
 
-async def _run(cell: Cell) -> Caller:
-    """Have a lasting task run."""
+async def _start_task(cell: Cell) -> Caller:
+    """Start a long-running task, and wait until it runs."""
     caller = cell.caller()
     await caller.submit("a" * 16, job(run_s=60, longRunning=True))
     (runner,) = cell.world.runners
     await until(runner.running, "the task runs")
-    # Only a stop ends it, however busy the machine is.
+    # The run cannot expire on a busy machine, so only a stop ends it.
     runner.hold_for(60.0)
     return caller
 
@@ -35,28 +33,28 @@
     assert (await caller.call("DELETE", "a" * 16))[0] == 200
 
 
-async def _until_nothing_runs(cell: Cell) -> None:
+async def _wait_until_idle(cell: Cell) -> None:
     (runner,) = cell.world.runners
     await until(
-        lambda: not runner.running(), "nothing runs there", within_s=GONE_WITHIN_S
+        lambda: not runner.running(), "no run is left", within_s=CANCEL_TIMEOUT_S
     )
 
 
 class TestStopWithoutEffect:
-    async def test_that_the_runner_refused_is_sent_again(self) -> None:
+    async def test_is_sent_again_if_the_runner_refused_it(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             cell.world.runners[0].faults.refuse_stops = 1
-            await _cancel(await _run(cell))
-            await _until_nothing_runs(cell)
+            await _cancel(await _start_task(cell))
+            await _wait_until_idle(cell)
             assert [how for _, _, how, _ in cell.world.ended] == ["stopped"]
 
-    async def test_that_the_runner_answered_is_sent_again(self) -> None:
+    async def test_is_sent_again_if_the_runner_only_answered_it(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             cell.world.runners[0].faults.ignore_stops = 1
-            await _cancel(await _run(cell))
-            await _until_nothing_runs(cell)
+            await _cancel(await _start_task(cell))
+            await _wait_until_idle(cell)
             assert [how for _, _, how, _ in cell.world.ended] == ["stopped"]
 
 
@@ -64,9 +62,9 @@
     async def test_is_sent_by_the_holder_that_confirms_the_cancel(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             daemon = await cell.until_ready()
-            caller = await _run(cell)
+            caller = await _start_task(cell)
             assert daemon.holder is not None
             daemon.holder.trust.begin_release()
             await _cancel(caller)
-            await _until_nothing_runs(cell)
+            await _wait_until_idle(cell)
             assert [how for _, _, how, _ in cell.world.ended] == ["stopped"]
--- a/tests/cell/test_cancels_and_holders.py
+++ b/tests/cell/test_cancels_and_holders.py
@@ -1,11 +1,11 @@
-"""The next holder, too, sends a stop again that a runner refused."""
+"""The next holder sends a stop again that a runner refused."""
 
 from .support import job
 from .support import running_cell
 from .support import until
 
 JOB_ID = "a" * 16
-MANY = 1_000_000
+MANY_STOPS = 1_000_000
 
 
 class TestRefusedStop:
@@ -19,7 +19,7 @@
             (runner,) = cell.world.runners
             await until(runner.running, "the task runs")
             runner.hold_for(60.0)
-            runner.faults.refuse_stops = MANY
+            runner.faults.refuse_stops = MANY_STOPS
             assert (await caller.call("DELETE", JOB_ID, at=at))[0] == 200
             await old.stop()
             refused = runner.faults.refuse_stops
@@ -31,5 +31,5 @@
                 "the next holder's stop is refused",
             )
             runner.faults.refuse_stops = 0
-            await until(lambda: not runner.running(), "nothing runs there")
+            await until(lambda: not runner.running(), "no run is left")
             assert [how for _, _, how, _ in cell.world.ended] == ["stopped"]
--- a/tests/cell/test_restarted_runners.py
+++ b/tests/cell/test_restarted_runners.py
@@ -39,7 +39,7 @@
             body = job(3600.0, 2, longRunning=True, antiAffinity=1)
             assert await cell.caller().submit(LASTING, body) == 200
             await until(lambda: len(list(cell.world.running())) == 2, "both run")
-            await cell.crash_one()
+            await cell.crash_busy_runner()
             await until(
                 lambda: len(list(cell.world.running())) == 2, "both run again", SOON_S
             )
--- a/tests/cell/test_silent_store.py
+++ b/tests/cell/test_silent_store.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from .support import job
-from .support import POLL_S
+from .support import POLL_INTERVAL_S
 from .support import running_cell
 from .support import until
 
@@ -31,7 +31,7 @@
             cell.world.store.faults.silent = False
             while (status := await caller.submit(JOB_ID, job())) != 200:
                 assert status == 429
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             await caller.until_state(JOB_ID, "completed")
             assert [run.run for run in cell.world.started] == [1]
 
--- a/tests/cell/test_slow_store.py
+++ b/tests/cell/test_slow_store.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from .support import job
-from .support import POLL_S
+from .support import POLL_INTERVAL_S
 from .support import running_cell
 from .support import until
 
@@ -57,7 +57,7 @@
             head = await watch._read_head()
             assert head is not None
             while head.term_s <= usual_s:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 head = await watch._read_head()
                 assert head is not None
             assert head.term_s <= daemon.settings.times.most_trust_s
