--- a/tests/cell/test_documents.py
+++ b/tests/cell/test_documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration comes into force, whatever its size and the link."""
+"""The operator's configuration comes into force even if it is large or a link slow."""
 
 import asyncio
 import base64
@@ -15,15 +15,16 @@
 from .support import until
 
 MANY_ROUTES = 1500
-"""Some 300 KB as the store sends them."""
+"""Some 300 KB in the store's answer."""
 
-SMALL_LINK_BYTES_PER_S = 150_000.0
-"""Two seconds for so many routes: longer than any call may wait for an answer."""
+SLOW_LINK_BYTES_PER_S = 150_000.0
+"""This many routes take two seconds, longer than any call may wait for an answer."""
 
 IN_FORCE_WITHIN_S = 8.0
 
 BEHIND_S = 0.5
-"""A holder that is behind answers nothing for so long; one that knows, within 0.1 s."""
+"""A holder with an older configuration gives no answer for this time. A holder with the
+same configuration answers within 0.1 s."""
 
 
 def _version(daemon: CellDaemon) -> int:
@@ -32,10 +33,10 @@
 
 
 class TestLargeConfiguration:
-    async def test_comes_into_force_over_a_small_link(self) -> None:
+    async def test_comes_into_force_over_a_slow_link(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             daemon = await cell.until_ready()
-            cell.world.store.faults.answer_bytes_per_s = SMALL_LINK_BYTES_PER_S
+            cell.world.store.faults.answer_bytes_per_s = SLOW_LINK_BYTES_PER_S
             await cell.world.write_manifest(2, more_routes=MANY_ROUTES)
             await until(
                 lambda: _version(daemon) == 2, "version 2 in force", IN_FORCE_WITHIN_S
@@ -45,55 +46,57 @@
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             await cell.world.write_manifest(2, more_routes=MANY_ROUTES)
-            cell.world.store.faults.answer_bytes_per_s = SMALL_LINK_BYTES_PER_S
-            late = CellDaemon(decode_node(cell.world.node_settings("late")))
-            await late.start()
+            cell.world.store.faults.answer_bytes_per_s = SLOW_LINK_BYTES_PER_S
+            new_daemon = CellDaemon(decode_node(cell.world.node_settings("late")))
+            await new_daemon.start()
             try:
                 await until(
-                    lambda: _version(late) == 2, "version 2 in force", IN_FORCE_WITHIN_S
+                    lambda: _version(new_daemon) == 2,
+                    "version 2 in force",
+                    IN_FORCE_WITHIN_S,
                 )
             finally:
-                await late.stop()
+                await new_daemon.stop()
 
 
-async def _until_follower_knows(cell: Cell, holder: CellDaemon, version: int) -> int:
-    """Wait until a daemon beside the holder knows a version; return its number."""
+async def _until_follower_has(cell: Cell, holder: CellDaemon, version: int) -> int:
+    """Wait until a daemon other than the holder has a version; return its index."""
     follower = next(d for d in cell.daemons if d is not holder)
-    await until(lambda: _version(follower) == version, "known at one daemon")
+    await until(lambda: _version(follower) == version, "a follower with the version")
     return cell.daemons.index(follower)
 
 
 class TestHolderThatIsBehind:
-    async def test_takes_a_job_once_it_knows_the_queue(
+    async def test_accepts_a_job_once_it_has_the_queue(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             holder = await cell.until_ready()
             caller = cell.caller()
-            with monkeypatch.context() as held_back:
-                held_back.setattr(holder.documents, "_apply_row", lambda row: None)
+            with monkeypatch.context() as patch:
+                patch.setattr(holder.documents, "_apply_row", lambda row: None)
                 await cell.world.write_manifest(2, name="another-queue")
-                at = await _until_follower_knows(cell, holder, 2)
+                at = await _until_follower_has(cell, holder, 2)
                 submitted = asyncio.ensure_future(caller.submit("a" * 16, job(), at=at))
                 await asyncio.wait((submitted,), timeout=BEHIND_S)
-                assert not submitted.done(), "answered by an older configuration"
+                assert not submitted.done(), "answered under an older configuration"
             await cell.world.write_manifest(3, name="another-queue")
             assert await submitted == 200
             await caller.until_state("a" * 16, "completed", at=at)
 
-    async def test_takes_a_job_of_a_queue_that_has_not_changed(
+    async def test_accepts_a_job_of_an_unchanged_queue(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             holder = await cell.until_ready()
             monkeypatch.setattr(holder.documents, "_apply_row", lambda row: None)
             await cell.world.write_manifest(2, more_routes=1)
-            at = await _until_follower_knows(cell, holder, 2)
+            at = await _until_follower_has(cell, holder, 2)
             caller = cell.caller()
             assert await caller.submit("c" * 16, job(), at=at) == 200
             assert _version(holder) == 1
 
-    async def test_takes_no_job_from_the_inbox_before(self) -> None:
+    async def test_accepts_no_job_from_the_inbox_before_it_has_the_queue(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             holder = await cell.until_ready()
             # As if version 2 sent the queue to another pool.
--- a/tests/cell/test_duties.py
+++ b/tests/cell/test_duties.py
@@ -16,10 +16,12 @@
         async with running_cell({"desk": 5, "spare": 1}) as cell:
             await cell.until_ready()
             assert await cell.caller().submit("a" * 16, job()) == 200
-            await until(lambda: _count(cell.world, "spare") == 4, "three are spared")
+            await until(
+                lambda: _count(cell.world, "spare") == 4, "three machines are moved"
+            )
             assert _count(cell.world, "desk") == 2
 
-    async def test_a_burst_brings_machines_and_they_leave_again(self) -> None:
+    async def test_a_burst_adds_machines_which_leave_again(self) -> None:
         async with running_cell({"desk": 2, "spare": 4}) as cell:
             await cell.until_ready()
             caller = cell.caller()
@@ -41,7 +43,7 @@
             await caller.submit(
                 "a" * 16, job(run_s=60, count=3, longRunning=True, may_miss=1)
             )
-            await until(lambda: len(cell.world.started) == 3, "all are at work")
+            await until(lambda: len(cell.world.started) == 3, "all tasks run")
             world = cell.world
             machine_ids = list(world.cloud.machines)
             await world.write_wave(1, machine_ids, most_at_once=2)
@@ -49,35 +51,35 @@
             assert all(1 in m.waves for m in world.cloud.machines.values())
             assert world.cloud.most_down <= 2
 
-    async def test_is_not_said_to_be_completed_while_a_machine_is_left(self) -> None:
+    async def test_is_not_reported_as_completed_while_a_machine_is_left(self) -> None:
         async with running_cell({"desk": 2}) as cell:
             await cell.until_ready()
             world = cell.world
             machine_ids = list(world.cloud.machines)
             await cell.caller().submit("b" * 16, job(run_s=1.5, count=2))
             await world.write_wave(3, machine_ids, most_at_once=1)
-            await until(lambda: world.wave_state(3) == "running", "it is known")
+            await until(lambda: world.wave_state(3) == "running", "the wave runs")
             await until(lambda: world.wave_state(3) == "completed", "the wave ends")
             assert all(3 in m.waves for m in world.cloud.machines.values())
             assert [how for _, _, how, _ in world.ended] == ["done", "done"]
 
 
-class TestLastingTasks:
-    async def test_none_is_stopped_while_another_may_be_out_of_reach(self) -> None:
+class TestLongRunningTasks:
+    async def test_none_is_stopped_while_another_may_be_unreachable(self) -> None:
         async with running_cell({"desk": 3}, cpu=16000) as cell:
             daemon = await cell.until_ready()
             world = cell.world
             body = job(run_s=60, count=3, longRunning=True, may_miss=1, antiAffinity=1)
             await cell.caller().submit("a" * 16, body)
-            await until(lambda: len(world.started) == 3, "all are at work")
+            await until(lambda: len(world.started) == 3, "all tasks run")
             holder = daemon.holder
             assert holder is not None
             runners = [r for r in world.runners if r.alive]
             runners[0].faults.silent = True
             state = holder.engine.runners[runners[0].runner_id]
-            await until(lambda: not state.ready, "the runner counts as silent")
+            await until(lambda: not state.ready, "the runner is considered silent")
             machine_ids = [m.machine_id for m in world.cloud.machines.values()]
             await world.write_wave(1, machine_ids[1:], most_at_once=1)
-            await until(lambda: world.wave_state(1) == "running", "the wave is known")
+            await until(lambda: world.wave_state(1) == "running", "the wave runs")
             await until(lambda: holder.log.sequence > 25, "some seconds pass")
             assert not any(how == "stopped" for _, _, how, _ in world.ended)
--- a/tests/cell/test_foreign_entries.py
+++ b/tests/cell/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""What another writer leaves in the store ends no daemon, and takes no runner away."""
+"""Foreign rows in the store neither stop a daemon nor remove a runner."""
 
 import json
 
@@ -19,27 +19,27 @@
 OTHER_ID = "00000000000000bb"
 
 
-def _assert_well(cell: Cell) -> None:
-    """No loop of any daemon failed, and none was ended."""
+def _assert_no_failures(cell: Cell) -> None:
+    """Assert that no daemon crashed and that none of its loops failed."""
     for daemon in cell.daemons:
         assert not daemon.crashed
         assert daemon.failures.counts == {}
 
 
-async def _leave_among_entries(cell: Cell) -> None:
+async def _write_foreign_entries(cell: Cell) -> None:
     for number, value in enumerate(FOREIGN_ENTRIES):
-        # Before the genuine ones, and behind them.
-        for place in ("a", "z"):
-            key = f"{place}-foreign-{number}"
+        # Sorted before the genuine entries, and after them.
+        for prefix in ("a", "z"):
+            key = f"{prefix}-foreign-{number}"
             await cell.world.write_bytes("servers", key, value)
 
 
 class TestEntries:
-    async def test_leave_the_daemons_and_their_runners_at_work(self) -> None:
+    async def test_do_not_disturb_the_daemons_and_their_runners(self) -> None:
         async with running_cell(POOLS, daemon_count=2) as cell:
             await cell.until_ready()
             caller = cell.caller()
-            await _leave_among_entries(cell)
+            await _write_foreign_entries(cell)
             assert await caller.submit(JOB_ID, job(count=4)) == 200
             await caller.until_state(JOB_ID, "completed")
             holder = cell.holder()
@@ -47,21 +47,21 @@
             genuine = {runner.runner_id for runner in cell.world.runners}
             assert set(holder.holder.engine.runners) == genuine
             assert holder.notes.counts["runner-entry"] > 0
-            _assert_well(cell)
+            _assert_no_failures(cell)
 
-    async def test_are_there_when_a_holder_begins(self) -> None:
+    async def test_do_not_disturb_a_new_holder(self) -> None:
         async with running_cell(POOLS, daemon_count=2) as cell:
             first = await cell.until_ready()
-            await _leave_among_entries(cell)
+            await _write_foreign_entries(cell)
             await first.stop()
             await until(lambda: cell.holder() not in (None, first), "a next holder")
             at = 1 - cell.daemons.index(first)
             caller = cell.caller()
             assert await caller.submit(JOB_ID, job(count=4), at=at) == 200
             await caller.until_state(JOB_ID, "completed", at=at)
-            _assert_well(cell)
+            _assert_no_failures(cell)
 
-    async def test_in_a_runners_place_end_nothing_that_runs(self) -> None:
+    async def test_that_replace_a_runners_entry_end_no_run(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             holder = await cell.until_ready()
             caller = cell.caller()
@@ -71,21 +71,21 @@
             await cell.world.write_bytes("servers", runner.runner_id, b"{}")
             assert holder.holder is not None
             (state,) = holder.holder.engine.runners.values()
-            await until(lambda: not state.ready, "nothing new for it")
+            await until(lambda: not state.ready, "the runner gets no new runs")
             assert await caller.submit(OTHER_ID, job()) == 200
             await caller.until_state(JOB_ID, "completed")
             assert await caller.state(OTHER_ID) == "pending"
             assert [run.task for run in cell.world.started] == [f"{JOB_ID}.0.0.0"]
             await cell.world.write_entry(runner)
             await caller.until_state(OTHER_ID, "completed")
-            _assert_well(cell)
+            _assert_no_failures(cell)
 
 
 class TestDocuments:
     @pytest.mark.parametrize(
         "value", [b"", b"\xff", b"[]", b"{}", b'{"version":"9"}', b"[" * 5_000]
     )
-    async def test_that_are_unreadable_keep_the_configuration(
+    async def test_that_are_unreadable_do_not_change_the_configuration(
         self, value: bytes
     ) -> None:
         async with running_cell(POOLS, daemon_count=2) as cell:
@@ -105,11 +105,11 @@
                 await until(
                     lambda documents=documents: documents.manifest.version == 9, "v9"
                 )
-            _assert_well(cell)
+            _assert_no_failures(cell)
 
 
 class TestOwnRows:
-    async def test_of_an_accepted_job_are_kept_as_they_are(self) -> None:
+    async def test_of_an_accepted_job_are_not_overwritten(self) -> None:
         unreadable = json.dumps({"route": 7, "from": "a newer version"}).encode()
         async with running_cell(POOLS, daemon_count=2) as cell:
             first = await cell.until_ready()
@@ -117,23 +117,23 @@
             assert await caller.submit(JOB_ID, job(run_s=60.0)) == 200
             await until(lambda: cell.world.started, "a run")
             await cell.world.write_bytes("cell-jobs", JOB_ID, unreadable, PART)
-            kept = cell.world.store.rows["cell-jobs", PART, JOB_ID]
+            row_before = cell.world.store.rows["cell-jobs", PART, JOB_ID]
             await first.stop()
             await until(lambda: cell.holder() not in (None, first), "a next holder")
             at = 1 - cell.daemons.index(first)
-            # Neither is it said that there is none, nor that it was not taken.
+            # No answer says that the job is unknown or that it was not accepted.
             for method, body in (("GET", b""), ("POST", job()), ("DELETE", b"")):
                 status, _, _ = await caller.call(method, JOB_ID, body, at=at)
                 assert status == 504
             assert await caller.submit(OTHER_ID, job(), at=at) == 200
             await caller.until_state(OTHER_ID, "completed", at=at)
-            assert cell.world.store.rows["cell-jobs", PART, JOB_ID] == kept
+            assert cell.world.store.rows["cell-jobs", PART, JOB_ID] == row_before
             running = [task for r in cell.world.runners for task in r.running()]
             assert running == [f"{JOB_ID}.0.0.0"]
             assert cell.daemons[at].notes.counts["cell-row"] > 0
-            _assert_well(cell)
+            _assert_no_failures(cell)
 
-    async def test_of_the_inbox_and_of_members_end_nothing(self) -> None:
+    async def test_of_the_inbox_and_of_members_stop_nothing(self) -> None:
         async with running_cell(POOLS, daemon_count=2) as cell:
             for table in ("cell-inbox", "cell-members", "cell-waves"):
                 await cell.world.write_bytes(table, "odd.row", b"\xff{", PART)
@@ -142,11 +142,11 @@
             assert await caller.submit(JOB_ID, job()) == 200
             await caller.until_state(JOB_ID, "completed")
             assert ("cell-inbox", PART, "odd.row") in cell.world.store.rows
-            _assert_well(cell)
+            _assert_no_failures(cell)
 
 
 class TestUnforeseenFailures:
-    async def test_of_a_loop_leave_the_others_at_work(
+    async def test_of_one_loop_do_not_stop_the_others(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with running_cell(POOLS) as cell:
@@ -155,7 +155,7 @@
             assert holder is not None
 
             def fail(row: object) -> None:
-                raise ZeroDivisionError("nobody foresaw this")
+                raise ZeroDivisionError("unexpected")
 
             monkeypatch.setattr(holder._listing, "_on_row", fail)
             entry = json.dumps(ENTRY).encode()
@@ -167,7 +167,7 @@
             assert daemon.holder is holder
             assert not daemon.crashed
 
-    async def test_that_go_on_hand_the_cell_over(
+    async def test_that_repeat_release_the_cell(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(service, "MOST_FAILURES", 2)
@@ -176,7 +176,7 @@
             assert first.holder is not None
 
             async def fail() -> None:
-                raise ZeroDivisionError("nobody foresaw this")
+                raise ZeroDivisionError("unexpected")
 
             monkeypatch.setattr(first.holder.inbox, "read", fail)
             await until(lambda: cell.holder() not in (None, first), "a next holder")
--- a/tests/cell/test_holders.py
+++ b/tests/cell/test_holders.py
@@ -1,4 +1,4 @@
-"""A holder is lost, and the next one goes on where it was."""
+"""The holder fails, and the next holder continues its work."""
 
 import asyncio
 import base64
@@ -19,12 +19,12 @@
 
 
 def _new_holder(cell: Cell, old: CellDaemon) -> CellDaemon | None:
-    found = cell.holder()
-    return found if found is not None and found is not old else None
+    current = cell.holder()
+    return current if current is not None and current is not old else None
 
 
-class TestTakeOver:
-    async def test_after_an_orderly_stop_nothing_is_lost_or_run_twice(self) -> None:
+class TestAcquisition:
+    async def test_after_a_planned_stop_no_task_is_lost_or_run_twice(self) -> None:
         async with running_cell({"desk": 2}, daemon_count=3) as cell:
             old = await cell.until_ready()
             at = _others(cell, old)[0]
@@ -39,7 +39,7 @@
             assert new.lease.owner is not None and new.lease.owner.token == 2
             await stopping
 
-    async def test_after_a_crash_runs_go_on(self) -> None:
+    async def test_after_a_crash_the_runs_continue(self) -> None:
         async with running_cell({"desk": 2}, daemon_count=3) as cell:
             old = await cell.until_ready()
             at = _others(cell, old)[0]
@@ -51,7 +51,7 @@
             await caller.until_state("a" * 16, "completed", at=at)
             assert len(cell.world.started) == 4
 
-    async def test_job_handed_in_without_a_holder_is_kept(self) -> None:
+    async def test_job_submitted_without_a_holder_is_persisted(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             old = await cell.until_ready()
             at = _others(cell, old)[0]
@@ -63,21 +63,21 @@
             await caller.until_state("b" * 16, "completed", at=at)
             assert len(cell.world.started) == 1
 
-    async def test_paused_holder_orders_nothing_once_it_was_replaced(self) -> None:
+    async def test_paused_holder_orders_nothing_after_its_replacement(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             old = await cell.until_ready()
             assert old.holder is not None
             store = cell.world.store
             runner = cell.world.runners[0]
-            # A higher token at the runner is what a successor leaves there.
+            # A successor leaves a higher token at the runner.
             runner.highest_token = 99
-            await until(lambda: old.holder is None, "the fenced holder gives up")
+            await until(lambda: old.holder is None, "the fenced holder stops")
             assert all(s.runner_id != runner.runner_id for s in cell.world.started)
             assert store.writes > 0
 
 
 class TestStoreOutage:
-    async def test_runs_outlast_it(self) -> None:
+    async def test_runs_survive_it(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             caller = cell.caller()
@@ -91,7 +91,7 @@
             await caller.until_state("c" * 16, "completed")
             assert [how for _, _, how, _ in cell.world.ended] == ["done"]
 
-    async def test_nothing_starts_that_is_not_recorded(self) -> None:
+    async def test_no_unrecorded_task_starts(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             caller = cell.caller()
@@ -103,8 +103,8 @@
             await caller.until_state("d" * 16, "completed")
 
 
-class TestHistoryForgotten:
-    async def test_a_new_manifest_is_read_whole(self) -> None:
+class TestLostHistory:
+    async def test_a_new_manifest_is_read_in_full(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             store = cell.world.store
@@ -119,8 +119,8 @@
             )
 
 
-class TestTurnedAwayHolder:
-    async def test_is_replaced_though_its_peers_still_hear_it(self) -> None:
+class TestHolderRefusedByTheStore:
+    async def test_is_replaced_though_its_heartbeats_arrive(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=3) as cell:
             old = await cell.until_ready()
             at = cell.daemons.index(old)
@@ -136,7 +136,7 @@
 
 
 def _cancel_before_job(job_id: str, route: str) -> list[StoredRow]:
-    """Return a job's row and its later cancel's, by key: the cancel first."""
+    """Return the rows of a job and of its later cancel, the cancel sorted first."""
     submit = json.dumps([job_id, route, job().decode()]).encode()
     cancel = json.dumps([job_id, route, ""]).encode()
     return [
@@ -146,7 +146,7 @@
 
 
 class TestInbox:
-    async def test_is_read_before_a_new_holder_says_what_it_knows(self) -> None:
+    async def test_is_read_before_a_new_holder_answers_callers(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=0) as cell:
             entry = ["a" * 16, "route-desk", job().decode()]
             value = base64.b64encode(json.dumps(entry).encode()).decode()
@@ -155,10 +155,10 @@
             daemon = CellDaemon(decode_node(cell.world.node_settings("late")))
             cell.daemons.append(daemon)
             await daemon.start()
-            holder = await until(cell.holder, "it holds the cell")
+            holder = await until(cell.holder, "a holder")
             assert holder.holder.intake.knows_job("a" * 16)
 
-    async def test_a_row_that_is_no_job_does_not_end_the_holder(self) -> None:
+    async def test_an_invalid_job_row_does_not_stop_the_holder(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             daemon = await cell.until_ready()
             store = cell.world.store
@@ -171,7 +171,7 @@
             await caller.submit("b" * 16, job())
             await caller.until_state("b" * 16, "completed")
 
-    async def test_a_row_of_a_route_not_known_yet_is_taken_later(self) -> None:
+    async def test_a_row_of_an_unknown_route_is_accepted_later(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             store = cell.world.store
@@ -184,7 +184,7 @@
             await cell.world.write_manifest(9, name="route-new")
             await cell.caller().until_state("c" * 16, "completed")
 
-    async def test_a_cancel_that_is_read_before_its_job_still_counts(self) -> None:
+    async def test_a_cancel_that_is_read_before_its_job_is_effective(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             holder = cell.daemons[0].holder
@@ -193,7 +193,9 @@
             assert holder.engine.jobs["d" * 16].cancelled
             assert cell.world.started == []
 
-    async def test_a_cancel_waits_for_a_job_that_waits_for_its_route(self) -> None:
+    async def test_a_cancel_is_effective_on_a_job_that_waits_for_its_route(
+        self,
+    ) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             holder = cell.daemons[0].holder
@@ -205,7 +207,7 @@
 
 
 class TestUnreleasedCell:
-    async def test_is_taken_from_a_stopping_holder_that_could_not_release_it(
+    async def test_is_acquired_from_a_stopping_holder_that_could_not_release_it(
         self,
     ) -> None:
         async with running_cell({"desk": 1}, daemon_count=3) as cell:
@@ -223,7 +225,7 @@
 
 
 class TestCancelledJobs:
-    async def test_nothing_of_them_starts_under_the_next_holder(self) -> None:
+    async def test_do_not_start_under_the_next_holder(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             old = await cell.until_ready()
             caller = cell.caller()
@@ -238,10 +240,10 @@
             await old.stop()
             new = await until(lambda: _new_holder(cell, old), "a new holder")
             runner.faults.silent = False
-            await _until_nothing_runs(new, "a" * 16)
+            await _wait_until_no_run_is_left(new, "a" * 16)
             assert cell.world.started == []
 
-    async def test_what_still_runs_of_them_is_stopped_by_the_next_holder(
+    async def test_their_runs_are_stopped_by_the_next_holder(
         self,
     ) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
@@ -253,19 +255,19 @@
             await caller.submit("a" * 16, body, at=at)
             await until(lambda: cell.world.started, "the task runs")
             runner.faults.silent = True
-            # Only a stop can end it then, however long the take-over takes.
+            # Only a stop can end the run now, however long the acquisition takes.
             runner.hold_for(60.0)
             assert (await caller.call("DELETE", "a" * 16, at=at))[0] == 200
             await old.stop()
             new = await until(lambda: _new_holder(cell, old), "a new holder")
             runner.faults.silent = False
-            await _until_nothing_runs(new, "a" * 16)
+            await _wait_until_no_run_is_left(new, "a" * 16)
             await until(lambda: cell.world.ended, "the run ends")
             assert [how for _, _, how, _ in cell.world.ended] == ["stopped"]
 
 
-async def _until_nothing_runs(daemon: CellDaemon, job_id: str) -> None:
-    """Wait until a holder knows of no run of a job any more."""
+async def _wait_until_no_run_is_left(daemon: CellDaemon, job_id: str) -> None:
+    """Wait until a holder knows of no run of a job."""
 
     def gone() -> bool:
         holder = daemon.holder
@@ -273,4 +275,4 @@
             return False
         return not holder.engine.jobs[job_id].has_attempts()
 
-    await until(gone, "nothing of the job runs", within_s=6.0)
+    await until(gone, "no run of the job is left", within_s=6.0)
