--- a/tests/cell/test_jobs.py
+++ b/tests/cell/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs from their hand-in to their end, over real sockets."""
+"""Jobs from their submission to their end, over real sockets."""
 
 from .support import Cell
 from .support import job
@@ -15,7 +15,7 @@
             await caller.until_state("a" * 16, "completed")
             assert len(cell.world.started) == 3
 
-    async def test_handed_in_twice_stays_one(self) -> None:
+    async def test_submitted_twice_runs_once(self) -> None:
         async with running_cell({"desk": 2}, daemon_count=2) as cell:
             await cell.until_ready()
             caller = cell.caller()
@@ -25,7 +25,7 @@
             assert await caller.submit("b" * 16, job(), at=1) == 200
             assert len(cell.world.started) == 1
 
-    async def test_steps_wait_for_those_before_them(self) -> None:
+    async def test_steps_wait_for_earlier_steps(self) -> None:
         body = (
             b'{"spec":"{\\"run_s\\":0.2}","steps":[{"count":2,"cpu":100,"memMb":1},'
             b'{"count":1,"cpu":100,"memMb":1,"after":[0]}]}'
@@ -40,7 +40,7 @@
             second = next(s for s in cell.world.started if ".0.1." in s.task)
             assert second.at_s >= first
 
-    async def test_failed_task_is_tried_again_up_to_its_attempts(self) -> None:
+    async def test_failed_task_is_retried_up_to_its_attempts(self) -> None:
         async with running_cell({"desk": 2}) as cell:
             await cell.until_ready()
             caller = cell.caller()
@@ -61,13 +61,13 @@
             assert status == 200
             await until(
                 lambda: not any(r.running() for r in cell.world.runners),
-                "nothing of the job runs",
+                "no run of the job is left",
             )
             await caller.until_state("f" * 16, "cancelled")
             assert len(cell.world.started) == 2
 
-    async def test_id_that_is_no_key_for_the_store_is_refused(self) -> None:
-        """A row that the store refuses would end the holder's commits."""
+    async def test_id_that_is_too_long_for_the_store_is_refused(self) -> None:
+        """A row that the store refuses would stop the holder's commits."""
         async with running_cell({"desk": 1}) as cell:
             daemon = await cell.until_ready()
             caller = cell.caller()
@@ -77,7 +77,7 @@
             await caller.until_state("b" * 16, "completed")
             assert cell.holder() is daemon
 
-    async def test_unknown_job_and_unknown_queue_are_told_apart(self) -> None:
+    async def test_unknown_job_and_unknown_queue_have_different_answers(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             caller, stranger = cell.caller(), cell.caller("nobody")
@@ -92,13 +92,13 @@
             caller = cell.caller()
             await caller.submit("1" * 16, job(run_s=0.5, cpu=16000))
             await caller.submit("2" * 16, job(run_s=0.1, cpu=16000))
-            # A job has begun once its runner's answer to the start has come.
+            # A job has begun once the holder has its runner's answer to the start.
             await caller.until_state("1" * 16, "running")
             _, answer, _ = await caller.call("GET")
             assert answer == {"pending": 1}
             await caller.until_state("2" * 16, "completed")
 
-    async def test_that_is_no_job_is_refused_with_a_time_to_come_back(self) -> None:
+    async def test_invalid_body_is_refused_with_a_retry_time(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             status, _, headers = await cell.caller().call("POST", "3" * 16, b"[]")
@@ -106,8 +106,8 @@
             assert int(headers["Retry-After"]) >= 1
 
 
-async def _until_renewed(cell: Cell) -> None:
-    """Wait for the end of a renewal, so that no other one is about to begin."""
+async def _wait_for_renewal(cell: Cell) -> None:
+    """Wait until a renewal ends, so that the next one is not about to begin."""
     holder = cell.daemons[0].holder
     assert holder is not None
     before = holder.log.sequence
@@ -124,18 +124,18 @@
             await caller.until_state("4" * 16, "completed")
             assert len(cell.world.started) == 1
 
-    async def test_commit_without_answer_is_settled(self) -> None:
+    async def test_commit_without_answer_is_resolved(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             caller = cell.caller()
-            await _until_renewed(cell)
+            await _wait_for_renewal(cell)
             cell.world.store.faults.lose_answers = 2
             assert await caller.submit("5" * 16, job()) == 200
             await caller.until_state("5" * 16, "completed")
             assert len(cell.world.started) == 1
 
     async def test_job_behind_an_unanswered_renewal_is_one_job(self) -> None:
-        """Both lost answers together take longer than a caller is kept waiting."""
+        """The timeouts of both lost answers take longer than a caller waits."""
         async with running_cell({"desk": 1}) as cell:
             await cell.until_ready()
             caller = cell.caller()
--- a/tests/cell/test_operators.py
+++ b/tests/cell/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of a cell, and its settings."""
+"""The operators' port of a cell, and the check of its settings."""
 
 import aiohttp
 import pytest
@@ -14,21 +14,25 @@
 
 
 class TestOperatorsPort:
-    async def test_any_daemon_explains_where_tasks_are(self) -> None:
+    async def test_every_daemon_explains_the_tasks_of_a_job(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             await cell.until_ready()
             await cell.caller().submit("a" * 16, job(run_s=20, count=2, cpu=10000))
-            await until(lambda: len(cell.world.started) == 1, "one task has room")
+            await until(lambda: len(cell.world.started) == 1, "one task starts")
             async with aiohttp.ClientSession() as session:
                 for daemon in cell.daemons:
                     base = f"http://{daemon.operators.address}"
-                    async with session.get(f"{base}/explain/job/{'a' * 16}") as got:
-                        value = await got.json()
-                    whys = [task["why"] for task in value["tasks"]]
-                    assert any("confirmed" in why for why in whys)
-                    assert any("waits for free capacity" in why for why in whys)
-                    async with session.get(f"{base}/explain/job/unknown") as got:
-                        assert got.status == 404
+                    async with session.get(
+                        f"{base}/explain/job/{'a' * 16}"
+                    ) as response:
+                        value = await response.json()
+                    reasons = [task["why"] for task in value["tasks"]]
+                    assert any("confirmed" in reason for reason in reasons)
+                    assert any(
+                        "waits for free capacity" in reason for reason in reasons
+                    )
+                    async with session.get(f"{base}/explain/job/unknown") as response:
+                        assert response.status == 404
 
     async def test_metrics_count_answers_and_calls(self) -> None:
         async with running_cell({"desk": 1}) as cell:
@@ -36,20 +40,20 @@
             await cell.caller().submit("b" * 16, job())
             async with (
                 aiohttp.ClientSession() as session,
-                session.get(f"http://{daemon.operators.address}/metrics") as got,
+                session.get(f"http://{daemon.operators.address}/metrics") as response,
             ):
-                text = await got.text()
+                text = await response.text()
             assert 'streamthread_answers_total{answer="POST 200"} 1.0' in text
             assert "streamthread_answer_seconds_bucket" in text
             assert "streamthread_holding 1.0" in text
 
 
 class TestSettings:
-    def test_all_mistakes_are_told_at_once(self) -> None:
+    def test_all_errors_are_reported_at_once(self) -> None:
         with pytest.raises(BadNodeSettings) as raised:
             decode_node('{"node": 7, "portRange": [1], "bounds": {"graceS": "x"}}')
-        places = {error.location for error in leaf_errors(raised.value)}
-        assert places == {
+        locations = {error.location for error in leaf_errors(raised.value)}
+        assert locations == {
             "$.node",
             "$.ip",
             "$.bindAddresses.front",
@@ -59,7 +63,7 @@
             "$.bounds.graceS",
         }
 
-    def test_the_command_checks_a_file(
+    def test_the_command_checks_a_settings_file(
         self, tmp_path: pytest.TempPathFactory, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "settings.json"  # type: ignore[operator]
--- a/tests/cell/test_runners.py
+++ b/tests/cell/test_runners.py
@@ -1,4 +1,4 @@
-"""Runners that fall silent, come back or end."""
+"""Runners that stop answering, drain or lose their entry."""
 
 import time
 
@@ -11,36 +11,40 @@
 
 
 class TestSilentRunner:
-    async def test_its_tasks_run_elsewhere_once_they_have_surely_lapsed(self) -> None:
+    async def test_its_tasks_run_elsewhere_once_they_have_certainly_expired(
+        self,
+    ) -> None:
         async with running_cell({"desk": 3}) as cell:
             daemon = await cell.until_ready()
             assert daemon.holder is not None
             world = cell.world
             body = job(run_s=60, count=2, longRunning=True, antiAffinity=1)
             await cell.caller().submit("a" * 16, body)
-            await until(lambda: len(world.started) == 2, "both are at work")
-            dark = next(
+            await until(lambda: len(world.started) == 2, "both tasks run")
+            silent_runner = next(
                 r for r in world.runners if r.runner_id == world.started[0].runner_id
             )
-            dark.faults.silent = True
-            dark_at_s = time.monotonic()
-            moved = world.started[0].task
-            # A start on the way to the silent runner must not delay the lapse.
+            silent_runner.faults.silent = True
+            silent_at_s = time.monotonic()
+            moved_task = world.started[0].task
+            # A start in flight to the silent runner must not delay the expiry.
             await cell.caller().submit("b" * 16, job(run_s=0.2, count=40, cpu=700))
-            lapsed = await until(
+            expired = await until(
                 lambda: (
-                    [e for e in world.ended if e[0] == moved]
-                    or [s for s in world.started if s.task == moved and s.run > 1]
+                    [e for e in world.ended if e[0] == moved_task]
+                    or [s for s in world.started if s.task == moved_task and s.run > 1]
                 ),
                 "the task is started again, or its end is seen",
             )
-            assert lapsed
+            assert expired
             hold_s = daemon.settings.links.hold_s
-            assert time.monotonic() - dark_at_s < hold_s + 6.0
+            assert time.monotonic() - silent_at_s < hold_s + 6.0
             await until(
                 lambda: (
                     not daemon.holder
-                    or not daemon.holder.engine.runners[dark.runner_id].attempts
+                    or not daemon.holder.engine.runners[
+                        silent_runner.runner_id
+                    ].attempts
                 ),
                 "nothing counts as running there",
                 within_s=hold_s + 6.0,
@@ -48,7 +52,7 @@
 
 
 class TestLeavingRunner:
-    async def test_that_drains_gets_nothing_new_and_ends_its_work(self) -> None:
+    async def test_that_drains_gets_no_new_tasks_and_finishes_its_own(self) -> None:
         async with running_cell({"desk": 2}) as cell:
             daemon = await cell.until_ready()
             assert daemon.holder is not None
@@ -58,13 +62,13 @@
             await cell.world.write_entry(leaving)
             state = daemon.holder.engine.runners[leaving.runner_id]
             await until(lambda: state.draining, "the holder has read the entry")
-            await _check_nothing_new(cell, leaving)
+            await _check_no_new_tasks(cell, leaving)
             await caller.until_state("a" * 16, "completed")
 
-    async def test_whose_entry_is_gone_gets_nothing_new_and_ends_its_work(
+    async def test_whose_entry_is_gone_gets_no_new_tasks_and_finishes_its_own(
         self,
     ) -> None:
-        """Some leave without a word: the entry goes, and they serve on a while."""
+        """Some runners leave unannounced: their entry goes while they still serve."""
         async with running_cell({"desk": 2}) as cell:
             daemon = await cell.until_ready()
             assert daemon.holder is not None
@@ -72,20 +76,22 @@
             leaving = await _busy_runner(cell)
             await cell.world.store.drop("servers", leaving.runner_id)
             link = daemon.holder.links[leaving.runner_id]
-            await until(lambda: not link.listed, "the holder misses the entry")
-            await _check_nothing_new(cell, leaving)
+            await until(
+                lambda: not link.listed, "the holder notices that the entry is gone"
+            )
+            await _check_no_new_tasks(cell, leaving)
             await caller.until_state("a" * 16, "completed")
 
 
 async def _busy_runner(cell: Cell) -> RunnerStandin:
-    """Hand in a job and return the runner that has its task."""
+    """Submit a job and return the runner that has its task."""
     await cell.caller().submit("a" * 16, job(run_s=1.5))
     await until(lambda: cell.world.started, "the task starts")
     runner_id = cell.world.started[0].runner_id
     return next(r for r in cell.world.runners if r.runner_id == runner_id)
 
 
-async def _check_nothing_new(cell: Cell, leaving: RunnerStandin) -> None:
+async def _check_no_new_tasks(cell: Cell, leaving: RunnerStandin) -> None:
     caller = cell.caller()
     for digit in "bcdef":
         await caller.submit(digit * 16, job(run_s=0.1, count=4))
@@ -96,19 +102,20 @@
 
 
 class TestSilentConnections:
-    async def test_cost_no_run_while_new_ones_work(self) -> None:
+    async def test_end_no_run_while_new_connections_work(self) -> None:
         async with running_cell({"desk": 1}) as cell:
             daemon = await cell.until_ready()
             (runner,) = cell.world.runners
             caller = cell.caller()
             await caller.submit("a" * 16, job(run_s=60, count=4, longRunning=True))
             await until(lambda: len(cell.world.started) == 4, "all tasks run")
-            # The starts side by side have left a connection each.
+            # The concurrent starts have left a connection each.
             assert runner.port.silence_connections() >= 4
             silent_at_s = time.monotonic()
-            over_s = daemon.settings.links.most_hold_s
+            expiry_s = daemon.settings.links.most_hold_s
             await until(
-                lambda: time.monotonic() > silent_at_s + over_s, "the holds are over"
+                lambda: time.monotonic() > silent_at_s + expiry_s,
+                "the holds have expired",
             )
             assert len(runner.running()) == 4
             assert cell.world.ended == []
--- a/tests/cell/test_silent_connections.py
+++ b/tests/cell/test_silent_connections.py
@@ -1,7 +1,7 @@
-"""Open connections to the store fall silent for good, while new ones work.
+"""Open connections to the store stop answering for good, while new connections work.
 
-Nothing is reset: a call on one of them ends by its own time limit alone, and the feeds
-wait there for changes that never come.
+No connection is reset: a call on one of them ends only by its own timeout, and the
+feeds wait there for changes that never arrive.
 """
 
 import contextlib
@@ -17,16 +17,16 @@
 from .support import job
 from .support import until
 
-IN_FORCE_S = 4.0
-"""In which a change is in force everywhere on the largest deployment; the users' pages
-allow 2 to 4 s."""
+IN_FORCE_WITHIN_S = 4.0
+"""Within this time, a change is in force everywhere on the largest deployment. The user
+documentation allows 2 to 4 s."""
 
 JOB_ID = "00000000000000aa"
 
 
 @contextlib.asynccontextmanager
 async def _cell_behind_links() -> t.AsyncIterator[tuple[Cell, list[Link]]]:
-    """Run three daemons, each of which reaches the store by a link of its own."""
+    """Run three daemons, each of which reaches the store over its own link."""
     world = CellWorld({"desk": 2})
     await world.open()
     links: list[Link] = []
@@ -55,7 +55,7 @@
 
 
 class TestSilentConnectionsToTheStore:
-    async def test_delay_a_configuration_by_one_time_limit(self) -> None:
+    async def test_delay_a_configuration_by_one_timeout(self) -> None:
         async with _cell_behind_links() as (cell, links):
             await cell.until_ready()
             for link in links:
@@ -66,9 +66,9 @@
                 manifests = [daemon.documents.manifest for daemon in cell.daemons]
                 return all(m is not None and m.version == 2 for m in manifests)
 
-            await until(in_force, "version 2", IN_FORCE_S)
+            await until(in_force, "version 2", IN_FORCE_WITHIN_S)
 
-    async def test_at_the_holder_cut_no_hand_in(self) -> None:
+    async def test_at_the_holder_fail_no_submission(self) -> None:
         async with _cell_behind_links() as (cell, links):
             holder = await cell.until_ready()
             links[cell.daemons.index(holder)].silence_open()
--- a/tests/cell/test_silent_store.py
+++ b/tests/cell/test_silent_store.py
@@ -1,7 +1,7 @@
-"""The store falls silent: what callers that hand jobs in are told, and how soon.
+"""The store stops answering: what the callers that submit jobs are answered, and when.
 
-Nothing refuses a call there, so that a holder learns of it by answers that do not come;
-a hand-in that waits for the commit after the one that hangs has left nothing anywhere.
+The store refuses no call, so a holder notices it only by missing answers. A submission
+that waits for the commit after the one that hangs has not been written anywhere.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 JOB_ID = "00000000000000aa"
 
 
-class TestHandIns:
-    async def test_are_refused_while_nothing_of_them_was_sent(self) -> None:
+class TestSubmissions:
+    async def test_are_refused_if_they_were_certainly_not_sent(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             daemon = await cell.until_ready()
             holder = daemon.holder
@@ -42,7 +42,7 @@
             assert holder is not None
             caller = cell.caller()
             cell.world.store.faults.silent = True
-            await until(lambda: not holder.log.tried_for_s(), "no commit under way")
+            await until(lambda: not holder.log.tried_for_s(), "no commit in flight")
             status, _, _ = await caller.call("POST", JOB_ID, job())
             assert status == 504
             assert JOB_ID in holder.engine.jobs
--- a/tests/cell/test_slow_store.py
+++ b/tests/cell/test_slow_store.py
@@ -1,7 +1,7 @@
-"""A store that is slower than any seen before still takes commits: nobody stops work.
+"""A store that is slower than any store before still accepts commits.
 
-A commit takes 9 ms, 0.8 s in a store 90 times slower: twice that is longer than one
-is usually relied on.
+A commit takes 9 ms, and 0.8 s if the store is 90 times slower. Twice that time is
+longer than the usual lease validity after a commit, but the holder goes on working.
 """
 
 import asyncio
@@ -11,46 +11,46 @@
 from .support import running_cell
 from .support import until
 
-SLOW_S = 0.8
-HAND_INS = 12
-GAP_S = 0.25
+STORE_DELAY_S = 0.8
+SUBMISSIONS = 12
+SUBMISSION_INTERVAL_S = 0.25
 
 
 class TestStoreThatIsSlowForAll:
-    async def test_has_hand_ins_accepted_by_one_holder(self) -> None:
+    async def test_does_not_replace_the_holder_that_accepts_submissions(self) -> None:
         async with running_cell({"desk": 2}, daemon_count=2) as cell:
             daemon = await cell.until_ready()
             holder = daemon.holder
             assert holder is not None
             at = cell.daemons.index(daemon)
             caller = cell.caller()
-            cell.world.store.faults.delay_s = SLOW_S
-            # What the holder learns from: two commits.
-            await until(lambda: holder.log.commit_s > SLOW_S, "a slow commit")
+            cell.world.store.faults.delay_s = STORE_DELAY_S
+            # The holder adapts after two commits.
+            await until(lambda: holder.log.commit_s > STORE_DELAY_S, "a slow commit")
             first = holder.log.sequence
             await until(lambda: holder.log.sequence > first + 1, "two more")
             calls = []
-            for number in range(HAND_INS):
+            for number in range(SUBMISSIONS):
                 job_id = f"{number:016x}"
                 calls.append(asyncio.ensure_future(caller.submit(job_id, job(), at)))
-                await asyncio.sleep(GAP_S)
-            assert await asyncio.gather(*calls) == [200] * HAND_INS
+                await asyncio.sleep(SUBMISSION_INTERVAL_S)
+            assert await asyncio.gather(*calls) == [200] * SUBMISSIONS
             assert daemon.holder is holder
             cell.world.store.faults.delay_s = 0.0
             usual_s = daemon.settings.times.trust_s
             await until(lambda: holder.log.term_s == usual_s, "the usual term")
-            for number in range(HAND_INS):
+            for number in range(SUBMISSIONS):
                 await caller.until_state(f"{number:016x}", "completed")
 
 
 class TestSilentHolder:
-    async def test_is_left_alone_for_as_long_as_its_last_commit_says(self) -> None:
+    async def test_is_not_replaced_within_the_term_of_its_last_commit(self) -> None:
         async with running_cell({"desk": 1}, daemon_count=2) as cell:
             daemon = await cell.until_ready()
             holder = daemon.holder
             assert holder is not None
             follower = next(d for d in cell.daemons if d is not daemon)
-            cell.world.store.faults.delay_s = SLOW_S
+            cell.world.store.faults.delay_s = STORE_DELAY_S
             usual_s = daemon.settings.times.trust_s
             await until(lambda: holder.log.term_s > usual_s, "a longer term")
             watch = follower.lease._watch
--- a/tests/cell/test_soak.py
+++ b/tests/cell/test_soak.py
@@ -1,6 +1,6 @@
 """A short soak with fixed seeds: real processes, faults from outside.
 
-``REGRESSIONS`` keeps each seed that ever failed, with a line on the cause.
+``REGRESSIONS`` lists every seed that has failed, with its cause.
 """
 
 import os
@@ -28,34 +28,35 @@
     SoakPlan(7, seconds=6.0, stops=True, restarts=True),
 )
 REGRESSIONS: tuple[SoakPlan, ...] = (
-    # The stand-in's runner told a lapse when it was next called, not when it was.
+    # The stand-in's runner reported an expiry at its next call, not at its time.
     SoakPlan(210, seconds=5.0, first_faults=True),
-    # A task was done on a silent runner and started again elsewhere once what ran there
-    # had lapsed; then the runner told of the end. That is allowed: the check counted an
-    # end that was confirmed after a lapse as one that had been known.
+    # A task was done on a silent runner and started again elsewhere after its run there
+    # had expired; then the runner reported the end. That is allowed: the check took an
+    # end that was confirmed after an expiry for an end that had been known.
     SoakPlan(11001),
-    # A runner was gone before the ends that it had told were confirmed, once with the
-    # store down and once with its holder paused. That is allowed, too.
+    # A runner was gone before the ends that it had reported were confirmed, once with
+    # the store down and once with its holder paused. That is also allowed.
     SoakPlan(12014),
     SoakPlan(12025),
-    # A holder whose machine was suspended took jobs back when it woke, which another
-    # daemon had accepted and left in the inbox meanwhile.
+    # A holder whose machine was suspended rolled back jobs when it resumed, although
+    # another daemon had accepted them meanwhile and written them to the inbox.
     SoakPlan(52001, stops=True, writer=True, runners=True),
-    # Runners ended by themselves three times, each time within 0.5 s of the start of
-    # the same task, which was given up: ends that its runner outlived, that each holder
-    # counted, that came before the start or from a suspect beside it.
+    # Runners exited by themselves three times, each time within 0.5 s of the start of
+    # the same task, which was given up. Among the counted exits were some that the
+    # task's runner survived, that each holder counted again, that came before the
+    # start, or that another suspected task had caused.
     SoakPlan(
         70025, stops=True, writer=True, runners=True, accounts=True, restarts=True
     ),
     SoakPlan(
         71012, stops=True, writer=True, runners=True, accounts=True, restarts=True
     ),
-    # The next holder started a run again on the next life of a runner that the run had
-    # crashed, and neither of them counted that.
+    # The next holder started a run again on the next incarnation of a runner that the
+    # run had crashed, and neither holder counted the crash.
     SoakPlan(
         70009, stops=True, writer=True, runners=True, accounts=True, restarts=True
     ),
-    # Each restart of a series was laid to runs that waited for their stop meanwhile.
+    # Each restart of a series was attributed to runs that were waiting for their stop.
     SoakPlan(
         70012, stops=True, writer=True, runners=True, accounts=True, restarts=True
     ),
@@ -76,7 +77,7 @@
         ("ended_s", "late", "allowed"),
         [(3.3, False, True), (3.5, False, False), (3.5, True, True)],
     )
-    async def test_allows_a_run_for_so_long(
+    async def test_allows_a_run_until_the_limit(
         self, ended_s: float, late: bool, allowed: bool
     ) -> None:
         world = CellWorld({})
@@ -102,9 +103,7 @@
 
 
 class TestDaemon:
-    async def test_counts_ends_that_nobody_asked_for(
-        self, tmp_path: pathlib.Path
-    ) -> None:
+    async def test_counts_unrequested_exits(self, tmp_path: pathlib.Path) -> None:
         world = CellWorld({"desk": 1})
         await world.open()
         daemon = Daemon("daemon-0", world, tmp_path)
--- a/tests/cell/test_standin.py
+++ b/tests/cell/test_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in's runner ends runs at the moment at which they end."""
+"""The stand-in platform: when runs end, orders take effect and ends are confirmed."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 class TestEnds:
-    async def test_a_lapse_is_dated_at_the_deadline(self) -> None:
+    async def test_an_expiry_is_dated_at_the_deadline(self) -> None:
         ended: list[tuple[str, int, str, float]] = []
         runner = _runner(ended)
         before_s = time.monotonic()
@@ -47,7 +47,7 @@
         assert how == "lapsed"
         assert at_s < before_s + 0.2
 
-    async def test_what_was_done_before_the_deadline_is_done(self) -> None:
+    async def test_a_run_that_ended_before_the_deadline_is_done(self) -> None:
         ended: list[tuple[str, int, str, float]] = []
         runner = _runner(ended)
         before_s = time.monotonic()
@@ -99,16 +99,16 @@
 
 
 class TestConfirmations:
-    async def test_after_a_lapse_are_late(self) -> None:
+    async def test_after_an_expiry_are_late(self) -> None:
         runner = _runner([])
         assert runner._try_start(_start("short", 0.05, 0.2)) == ""
         before_s = time.monotonic()
-        await until(lambda: time.monotonic() > before_s + 0.3, "the runs lapse")
+        await until(lambda: time.monotonic() > before_s + 0.3, "the runs expire")
         await _hold(runner, observed=0)
         await _hold(runner, observed=1)
         assert runner.unknown_ends == {("short", 1)}
 
-    async def test_that_never_came_before_the_life_was_over(self) -> None:
+    async def test_that_are_missing_when_the_incarnation_ends(self) -> None:
         runner = _runner([])
         assert runner._try_start(_start("short", 0.05, 60.0)) == ""
         before_s = time.monotonic()
@@ -117,7 +117,7 @@
         runner.kill()
         assert runner.unknown_ends == {("short", 1)}
 
-    async def test_of_a_held_runner_are_not(self) -> None:
+    async def test_of_a_held_runner_are_in_time(self) -> None:
         runner = _runner([])
         assert runner._try_start(_start("short", 0.05, 60.0)) == ""
         before_s = time.monotonic()
@@ -128,8 +128,8 @@
 
 
 class TestFeed:
-    async def test_tells_no_version_whose_changes_it_leaves_out(self) -> None:
-        """A row is written at the moment at which a feed has waited for long enough."""
+    async def test_returns_no_version_without_its_changes(self) -> None:
+        """A row is written at the moment when a feed call times out."""
         store = StoreStandin()
         query = {"table": "op", "after": "0", "waitMs": "50"}
         feed = asyncio.ensure_future(store._feed(query))
--- a/tests/cell/test_unanswered_upkeep.py
+++ b/tests/cell/test_unanswered_upkeep.py
@@ -1,7 +1,7 @@
-"""An upkeep without an answer is asked for again; that ends no life that came since.
+"""An upkeep request without an answer is sent again, without effect on a new runner.
 
-The platform answers 200 also where the upkeep was done before. Taken as the end of
-the life that is listed by then, it makes the holder drop a runner that is well.
+The platform answers 200 even if the upkeep was done before. If the holder takes that
+answer for the exit of the incarnation listed by then, it drops a healthy runner.
 """
 
 import asyncio
@@ -16,40 +16,40 @@
 from .support import until
 
 
-def _lose_first_answer(world: CellWorld) -> list[str]:
-    """Have the first upkeep carried out without an answer; return what was asked."""
+def _drop_first_answer(world: CellWorld) -> list[str]:
+    """Leave the first upkeep request unanswered; return the list of requests."""
     port = world.cloud.port
     handler = port._handler
-    asked: list[str] = []
+    requests: list[str] = []
 
     async def serve(request: web.BaseRequest) -> web.StreamResponse:
         answer = await handler(request)
         if request.path == "/-/machine-upkeep":
-            asked.append(request.path)
-            if len(asked) == 1:
+            requests.append(request.path)
+            if len(requests) == 1:
                 await asyncio.sleep(PLAY_DEAD_S)
         return answer
 
     port._handler = serve
-    return asked
+    return requests
 
 
 class TestUnansweredUpkeep:
-    async def test_ends_no_life_that_came_after_it(self) -> None:
-        with logbook.TestHandler() as lines:
+    async def test_ends_no_incarnation_that_started_after_it(self) -> None:
+        with logbook.TestHandler() as log_handler:
             async with running_cell({"desk": 3}) as cell:
                 await cell.until_ready()
                 world = cell.world
-                asked = _lose_first_answer(world)
+                requests = _drop_first_answer(world)
                 machine = next(iter(world.cloud.machines.values()))
                 await world.write_wave(1, [machine.machine_id], most_at_once=1)
-                await until(lambda: len(asked) == 2, "it is asked for again")
-                await until(lambda: world.wave_state(1) == "completed", "it ends")
+                await until(lambda: len(requests) == 2, "the upkeep is requested again")
+                await until(lambda: world.wave_state(1) == "completed", "the wave ends")
                 assert machine.runner is not None
-                over = [
+                exits = [
                     record.extra["why"]
-                    for record in lines.records
+                    for record in log_handler.records
                     if record.message == "runner-over"
                     and record.extra["runner"] == machine.runner.runner_id
                 ]
-                assert over == []
+                assert exits == []
