--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -213,7 +213,7 @@
 
     # The cell.
 
-    async def _run_holder(self, taken: TakenCell) -> None:
+    async def _run_holder(self, acquired: TakenCell) -> None:
         context = HolderContext(
             daemon_id=self.node.daemon_id,
             store=self.store,
@@ -225,30 +225,30 @@
             notes=self.notes,
             failures=self.failures,
         )
-        self.holder = Holder(context, taken)
+        self.holder = Holder(context, acquired)
         holder = self.holder
         try:
             await holder.run()
         finally:
             self.holder = None
         if holder.failed:
-            await self._back_off_after_failure(taken)
+            await self._back_off_after_failure(acquired)
 
-    async def _back_off_after_failure(self, taken: TakenCell) -> None:
+    async def _back_off_after_failure(self, acquired: TakenCell) -> None:
         """Leave the cell to another daemon, which reads all rows again."""
         backoff_s = min(INITIAL_BACKOFF_S * 2**self._holder_failures, MAX_BACKOFF_S)
         self._holder_failures += 1
         log.error(
             "holder-failed",
             extra={
-                "token": taken.owner.token,
+                "token": acquired.owner.token,
                 "times": self._holder_failures,
                 "rest_s": backoff_s,
             },
         )
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RELEASE_TIMEOUT_S):
-                await self.lease.release(taken, self._choose_successor())
+                await self.lease.release(acquired, self._choose_successor())
         await asyncio.sleep(backoff_s)
 
     def _on_replaced(self) -> None:
