--- a/src/streamthread/capacity/bursts.py
+++ b/src/streamthread/capacity/bursts.py
@@ -132,10 +132,10 @@
     _slow: ArrivalRate = attrs.field(factory=lambda: ArrivalRate(SLOW_SPAN_S))
     _latest_at_s: collections.deque[float] = attrs.field(factory=collections.deque)
 
-    def add(self, cpu_s: float, now_s: float, least_rate: float) -> Burst | None:
+    def add(self, cpu_s: float, now_s: float, min_rate: float) -> Burst | None:
         """Take a job's work; return the burst that begins with it, if one does.
 
-        :param least_rate: thousandths of a core; fewer arrivals are no burst.
+        :param min_rate: thousandths of a core; fewer arrivals are no burst.
         """
         self.settle(now_s)
         self._work.add(cpu_s)
@@ -146,7 +146,7 @@
             self.present.jobs += 1
             self.present.last_at_s = now_s
             return None
-        if self._fast.sure_value(now_s) * self._work.value <= least_rate:
+        if self._fast.sure_value(now_s) * self._work.value <= min_rate:
             return None
         self.present = self._begin()
         return self.present
--- a/src/streamthread/gateway/front.py
+++ b/src/streamthread/gateway/front.py
@@ -16,7 +16,7 @@
 from ..platform.callers import KEY_CHALLENGE
 from ..platform.callers import KEY_HEADER
 from ..platform.manifest import Route
-from ..platform.store import MOST_ID_BYTES
+from ..platform.store import MAX_ID_BYTES
 from .account_report import AccountCounts
 from .documents import Documents
 from .forwarding import Forwarder
@@ -195,7 +195,7 @@
         if admission.refusal:
             return _Reply(NOT_ADMITTED_STATUS, reason=admission.refusal)
         job_id = request.path[len(route.path_prefix) :]
-        if len(job_id.encode()) > MOST_ID_BYTES:
+        if len(job_id.encode()) > MAX_ID_BYTES:
             # There can be no such job.
             return _Reply(400 if request.method == "POST" else 410)
         body = await request.read()
--- a/src/streamthread/holder/sizes.py
+++ b/src/streamthread/holder/sizes.py
@@ -80,8 +80,8 @@
         if self._first_job_at_s is None:
             self._first_job_at_s = at_s
         arrivals = self._arrivals.setdefault(service, PoolArrivals())
-        least_rate = self._settings.burst_machines * self._machine_cpu
-        if arrivals.add(work, at_s, least_rate) is not None:
+        min_rate = self._settings.burst_machines * self._machine_cpu
+        if arrivals.add(work, at_s, min_rate) is not None:
             cpu = round(arrivals.rate(at_s))
             log.info("burst-begins", extra={"pool": service, "cpu": cpu})
 
--- a/src/streamthread/platform/runners.py
+++ b/src/streamthread/platform/runners.py
@@ -21,7 +21,7 @@
     "EndKind",
     "EndedRun",
     "HoldReply",
-    "LifeOverError",
+    "IncarnationEndedError",
     "OrderReply",
     "Refusal",
     "RunnerClient",
@@ -47,7 +47,7 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    EXPIRED = "lapsed"
     BROKEN = "broken"
     ALONE = "alone"
 
@@ -58,13 +58,13 @@
     FENCED = "fence"
     OLD_RUN = "old"
     TOO_LATE = "late"
-    NO_ROOM = "room"
+    NO_CAPACITY = "room"
     BAD_TICKET = "ticket"
     UNHEALTHY = "unhealthy"
     MALFORMED = "malformed"
 
 
-class LifeOverError(Exception):
+class IncarnationEndedError(Exception):
     """Another life answers at this runner's address: the asked one has ended."""
 
 
@@ -311,9 +311,9 @@
             headers={EXPECT_HEADER: runner_id},
         )
         if answer.status == OTHER_LIFE_STATUS:
-            raise LifeOverError(runner_id)
+            raise IncarnationEndedError(runner_id)
         if answer.instance_id and answer.instance_id != runner_id:
-            raise LifeOverError(runner_id)
+            raise IncarnationEndedError(runner_id)
         return answer
 
 
--- a/src/streamthread/platform/store.py
+++ b/src/streamthread/platform/store.py
@@ -22,7 +22,7 @@
 
 __all__ = [
     "ABSENT",
-    "MOST_ID_BYTES",
+    "MAX_ID_BYTES",
     "Condition",
     "HistoryGoneError",
     "Page",
@@ -37,7 +37,7 @@
 CONNECTIONS = 8
 """Each feed keeps one; the others carry commits and reads."""
 
-MOST_ID_BYTES = 100
+MAX_ID_BYTES = 100
 """Of an id that becomes part of a row's key: keys take 200 bytes, and the store refuses
 a transaction with a longer one whole, which would end a holder's commits."""
 
--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -13,7 +13,7 @@
 from ..errors import OutcomeUnknownError
 from ..errors import StoreUnavailableError
 from ..platform.runners import HoldReply
-from ..platform.runners import LifeOverError
+from ..platform.runners import IncarnationEndedError
 from ..platform.runners import Refusal
 from ..platform.runners import RunnerClient
 from ..scheduler.fleet import RunnerState
@@ -158,7 +158,7 @@
         while not self.over:
             try:
                 await self._hold_once()
-            except LifeOverError:
+            except IncarnationEndedError:
                 self._end("another life answers at its address")
             except (StoreUnavailableError, OutcomeUnknownError) as error:
                 self._on_silence(str(error), isinstance(error, NoAnswerError))
@@ -212,7 +212,11 @@
                 0.0,
                 self._settings.answer_s,
             )
-        except (LifeOverError, StoreUnavailableError, OutcomeUnknownError) as error:
+        except (
+            IncarnationEndedError,
+            StoreUnavailableError,
+            OutcomeUnknownError,
+        ) as error:
             # The loop beside this one meets the same and draws the conclusions.
             log.info(
                 "extension-unanswered",
--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -11,7 +11,7 @@
 from ..errors import OutcomeUnknownError
 from ..errors import StoreUnavailableError
 from ..errors import StreamthreadError
-from ..platform.runners import LifeOverError
+from ..platform.runners import IncarnationEndedError
 from ..platform.runners import OrderReply
 from ..platform.runners import Refusal
 from ..platform.runners import RunnerClient
@@ -120,7 +120,7 @@
             try:
                 reply = await self._send_start(attempt, link)
                 attempt.open_starts -= 1
-            except LifeOverError:
+            except IncarnationEndedError:
                 attempt.open_starts -= 1
                 if not uncertain:
                     # It surely began nowhere, so that no end can be laid to it.
@@ -200,7 +200,7 @@
             self._engine.stop(attempt, f"refused-{refusal.value}")
         else:
             self._engine.refuse(attempt, refusal.value)
-        if refusal in (Refusal.UNHEALTHY, Refusal.NO_ROOM):
+        if refusal in (Refusal.UNHEALTHY, Refusal.NO_CAPACITY):
             link.runner.ready = False
         self._owner.kick()
         return True
@@ -287,7 +287,7 @@
                 self._owner.token,
                 self._settings.answer_s,
             )
-        except LifeOverError:
+        except IncarnationEndedError:
             link.over = True
             self._owner.on_life_over(link, "another life answered a pace")
             return
@@ -334,7 +334,7 @@
                 self._owner.token,
                 self._settings.answer_s,
             )
-        except LifeOverError:
+        except IncarnationEndedError:
             self._end_life(link, "another life answered a stop")
         except (StoreUnavailableError, OutcomeUnknownError) as error:
             if tell:
--- a/src/streamthread/scheduler/tests/test_unreached_starts.py
+++ b/src/streamthread/scheduler/tests/test_unreached_starts.py
@@ -9,7 +9,7 @@
 from streamthread.errors import OutcomeUnknownError
 from streamthread.platform.callers import JobRequest
 from streamthread.platform.callers import StepRequest
-from streamthread.platform.runners import LifeOverError
+from streamthread.platform.runners import IncarnationEndedError
 from streamthread.platform.runners import OrderReply
 from streamthread.scheduler import Engine
 from streamthread.scheduler import Job
@@ -76,7 +76,7 @@
 class TestStartThatAnotherLifeAnswered:
     async def test_is_laid_to_no_task(self) -> None:
         """Guards against jobs that fail for ends before their tasks were started."""
-        task = await _start(LifeOverError())
+        task = await _start(IncarnationEndedError())
         assert task.lost_runners == 0
         assert task.wants_attempt
 
@@ -84,5 +84,5 @@
     async def test_counts_where_an_earlier_try_may_have_begun(self, tries: int) -> None:
         """Guards against a task that crashes its runner before it has answered."""
         lost = [OutcomeUnknownError("no answer", remedy="-")] * tries
-        task = await _start(*lost, LifeOverError())
+        task = await _start(*lost, IncarnationEndedError())
         assert task.crashes == 1
--- a/tests/model/runners.py
+++ b/tests/model/runners.py
@@ -10,7 +10,7 @@
 from streamthread.platform.runners import EndedRun
 from streamthread.platform.runners import EndKind
 from streamthread.platform.runners import HoldReply
-from streamthread.platform.runners import LifeOverError
+from streamthread.platform.runners import IncarnationEndedError
 from streamthread.platform.runners import OrderReply
 from streamthread.platform.runners import Refusal
 from streamthread.platform.runners import RunnerClient
@@ -54,7 +54,7 @@
     Fate.UNHEALTHY: Refusal.UNHEALTHY,
     Fate.UNHEALTHY_CLOCK: Refusal.UNHEALTHY,
     Fate.MALFORMED: Refusal.MALFORMED,
-    Fate.ROOM: Refusal.NO_ROOM,
+    Fate.ROOM: Refusal.NO_CAPACITY,
 }
 
 Run = tuple[str, int]
@@ -195,7 +195,7 @@
             self._lapse.cancel()
         left_s = (self._deadline_ms - self.clock_ms) / 1000 / self._rate
         loop = asyncio.get_running_loop()
-        self._lapse = loop.call_later(left_s, self.end_all, EndKind.LAPSED)
+        self._lapse = loop.call_later(left_s, self.end_all, EndKind.EXPIRED)
 
     def _later(self, after_s: float, run: Run, kind: EndKind) -> None:
         asyncio.get_running_loop().call_later(after_s, self._end, run, kind)
@@ -309,7 +309,7 @@
         if fate is Fate.LOST or time.monotonic() < self.cut_until_s.get(address, 0):
             await _no_answer(timeout_s)
         if life.runner_id != runner_id:
-            raise LifeOverError(runner_id)
+            raise IncarnationEndedError(runner_id)
         return life
 
 
