--- a/src/streamthread/capacity/__init__.py
+++ b/src/streamthread/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""How many machines each pool needs, and which move where."""
+"""Decides how many machines each pool needs, and which machines move."""
 
 from .bursts import PoolArrivals
 from .demand import pool_demand
--- a/src/streamthread/capacity/demand.py
+++ b/src/streamthread/capacity/demand.py
@@ -1,4 +1,4 @@
-"""What a pool's open jobs ask for."""
+"""Computes the resources that a pool's open jobs need."""
 
 import math
 import typing as t
@@ -12,20 +12,24 @@
 from ..scheduler.model import Occurrence
 from ..scheduler.placement import outlook
 
-__all__ = ["Demand", "Work", "job_work", "pool_demand", "room_for_work"]
+__all__ = ["Demand", "Work", "job_work", "pool_demand", "required_resources"]
 
-LATE_SPREAD = 1.5
-"""A job that is late already gets room for its work over so many chains."""
+LATE_SPREAD_FACTOR = 1.5
+"""The open work of a job that is already late is spread over the length of its longest
+open chain times this factor."""
 
-LEAST_SPREAD_S = 0.3
-"""Keeps a job that is nearly done from asking for a burst of machines."""
+MIN_SPREAD_S = 0.3
+"""Shortest time over which work is spread, so that a job that is nearly done does not
+request many machines at once."""
 
 
 @attrs.frozen
 class Demand:
-    """Room that is asked for, in thousandths of a core and in megabytes.
+    """Resources that are needed.
 
-    :param machines: the fewest that the spread of any step that may run allows.
+    :param cpu: thousandths of a core.
+    :param machines: the minimum number of machines, given by the runnable step whose
+        limit of tasks per runner needs the most of them.
     """
 
     cpu: float = 0.0
@@ -35,30 +39,31 @@
 
 @attrs.frozen
 class Work:
-    """Open work that has to be done within a time.
+    """Open work with a deadline.
 
-    :param over_s: over how long it may be spread.
+    :param spread_s: the time over which it may be spread.
     :param cpu_s: thousandths of a core times seconds.
     :param memory_s: megabytes times seconds.
     """
 
-    over_s: float
+    spread_s: float
     cpu_s: float
     memory_s: float
 
 
 @attrs.frozen
-class _Part:
-    """What one time of a job asks for: room all the time, and work by a time."""
+class _OccurrenceDemand:
+    """Needs of one occurrence of a job: constant resources and work with a deadline."""
 
-    lasting: Demand
+    long_running: Demand
     work: Work | None = None
 
 
 def job_work(job: Job, times: RunTimes) -> float:
-    """Return the work that a job brings when it is handed in.
+    """Return the work that a job brings when it is submitted.
 
-    Timed jobs bring none then: each time counts once it is open.
+    A scheduled job brings none at that time: each of its occurrences counts once it is
+    open.
 
     :return: thousandths of a core times seconds.
     """
@@ -74,46 +79,50 @@
 
 
 def pool_demand(jobs: t.Iterable[Job], times: RunTimes, now_s: float) -> Demand:
-    """Return the room that open jobs need so as to meet their objectives.
+    """Return the resources that open jobs need to meet their objectives.
 
-    A job's open work may be spread over the time that it has left: less room than all
-    of its tasks at once, more as it falls behind.
+    The open work of a job is spread over the time that it has left. This takes fewer
+    resources than all of its tasks at once, and more as the job falls behind.
 
     :param now_s: wall time.
     """
-    parts = [
+    demands = [
         _occurrence_demand(occurrence, times, now_s)
         for job in jobs
         for occurrence in job.occurrences.values()
     ]
-    lasting = [part.lasting for part in parts]
-    in_time = room_for_work([part.work for part in parts if part.work is not None])
+    long_running = [demand.long_running for demand in demands]
+    work_demand = required_resources(
+        [demand.work for demand in demands if demand.work is not None]
+    )
     return Demand(
-        sum(part.cpu for part in lasting) + in_time.cpu,
-        sum(part.memory_mb for part in lasting) + in_time.memory_mb,
-        max((part.machines for part in lasting), default=0),
+        sum(demand.cpu for demand in long_running) + work_demand.cpu,
+        sum(demand.memory_mb for demand in long_running) + work_demand.memory_mb,
+        max((demand.machines for demand in long_running), default=0),
     )
 
 
-def room_for_work(works: t.Iterable[Work]) -> Demand:
-    """Return the least room in which all work ends within its time.
+def required_resources(works: t.Iterable[Work]) -> Demand:
+    """Return the smallest constant resources with which all work ends in time.
 
-    What ends first leaves its room to what may end later, so that the room is that of
-    the most pressing moment: all work that has to be done by then, over the time until
-    then. The sum over jobs of work over time, without that, is twice as much for a
-    steady stream of jobs with three times the time that they need, and machines that
-    one pool holds in vain are missing in another.
+    Work that ends early frees its resources for work that may end later. The result is
+    therefore the maximum over all deadlines of the work that is due by the deadline,
+    divided by the time until then. Adding up work divided by time for each job would
+    give twice as much for a steady stream of jobs that have three times the time that
+    they need, and the machines that one pool holds without use are missing in another.
     """
     cpu = memory_mb = cpu_s = memory_s = 0.0
-    for work in sorted(works, key=lambda work: work.over_s):
+    for work in sorted(works, key=lambda work: work.spread_s):
         cpu_s += work.cpu_s
         memory_s += work.memory_s
-        cpu = max(cpu, cpu_s / work.over_s)
-        memory_mb = max(memory_mb, memory_s / work.over_s)
+        cpu = max(cpu, cpu_s / work.spread_s)
+        memory_mb = max(memory_mb, memory_s / work.spread_s)
     return Demand(cpu, memory_mb)
 
 
-def _occurrence_demand(occurrence: Occurrence, times: RunTimes, now_s: float) -> _Part:
+def _occurrence_demand(
+    occurrence: Occurrence, times: RunTimes, now_s: float
+) -> _OccurrenceDemand:
     cpu = memory_mb = work_cpu_s = work_memory_s = 0.0
     machines = 0
     for step in occurrence.steps:
@@ -131,21 +140,21 @@
         run_s = times.expect_s(learning_key(step), request.estimate_ms)
         work_cpu_s += step_cpu * run_s
         work_memory_s += request.memory_mb * count * run_s
-    lasting = Demand(cpu, memory_mb, machines)
+    long_running = Demand(cpu, memory_mb, machines)
     if not work_cpu_s and not work_memory_s:
-        return _Part(lasting)
-    over_s = _time_left_s(occurrence, times, now_s)
-    return _Part(lasting, Work(over_s, work_cpu_s, work_memory_s))
+        return _OccurrenceDemand(long_running)
+    spread_s = _time_left_s(occurrence, times, now_s)
+    return _OccurrenceDemand(long_running, Work(spread_s, work_cpu_s, work_memory_s))
 
 
 def _time_left_s(occurrence: Occurrence, times: RunTimes, now_s: float) -> float:
-    """Return over how long a time's open work is to be spread.
+    """Return the time over which an occurrence's open work is spread.
 
-    Not less than its longest open chain takes; a time that is late anyway is
-    not hurried further.
+    It is not shorter than the longest open chain. An occurrence that is late anyway
+    does not get more resources for that.
     """
     open_s, latest_end_s = outlook(occurrence, times)
     left_s = latest_end_s - now_s
     if left_s < open_s:
-        return max(open_s * LATE_SPREAD, LEAST_SPREAD_S)
-    return max(left_s, LEAST_SPREAD_S)
+        return max(open_s * LATE_SPREAD_FACTOR, MIN_SPREAD_S)
+    return max(left_s, MIN_SPREAD_S)
--- a/src/streamthread/capacity/plan.py
+++ b/src/streamthread/capacity/plan.py
@@ -1,4 +1,4 @@
-"""Which machines move between pools: a pure decision over one view."""
+"""Decides which machines move between pools, as a pure function of one view."""
 
 import collections
 import math
@@ -18,30 +18,32 @@
 ]
 
 
-NEGLIGIBLE = 0.1
-"""Of a machine: so little more does not bring one."""
+NEGLIGIBLE_MACHINES = 0.1
+"""A need for another machine that is smaller than this share of it is ignored."""
 
 
 @attrs.frozen
 class CapacitySettings:
-    """The weights between machines held back and moves.
+    """Settings that balance the cost of idle machines against the cost of moves.
 
-    :param least_machines: a pool keeps at least so many, so that one loss does
+    :param least_machines: minimum size of a pool, so that the loss of one machine does
         not stop it.
-    :param headroom_machines: kept free beside the demand, for the first jobs of
-        a burst: a move takes longer than their objective allows. Of 0.6, 1.2, 2
-        and 3, two were worth most on the quiet days of both sites.
-    :param demand_margin: how much more than the present demand is provided for.
-    :param idle_s: a machine above the need leaves after being idle for so long;
-        a move out and back costs as much as some 5 s in a pool, and leaving
-        earlier was worth more on both sites than 1.5 s.
-    :param shrink_s: the need is the highest of so many past seconds.
-    :param most_moves: at once, so that one wrong view does not empty a pool.
-    :param cold_s: all machines stay out of the spare pool until the first job comes,
-        for so long at most.
-    :param cold_leave_s: then they leave one after the other over this time. Those on
-        their way are away for 1.5 s, and that is when the first burst is seen.
-    :param burst_machines: arrivals that need fewer machines are no burst.
+    :param headroom_machines: machines provided in addition to the demand, for the
+        first jobs of a burst: a move takes longer than their objective allows. Of 0.6,
+        1.2, 2 and 3, the value 2 gave the best results on quiet days at both sites.
+    :param demand_margin: factor by which the present demand is multiplied.
+    :param idle_s: an unneeded machine leaves its pool after it has been idle for this
+        time. A move out and back costs as much as some 5 s in a pool; even so, a short
+        time gave better results at both sites than 1.5 s.
+    :param shrink_s: the size of a pool is the highest need within this past time.
+    :param most_moves: maximum number of moves in one plan, so that one wrong view does
+        not empty a pool.
+    :param cold_s: after a start, all machines stay out of the spare pool until the
+        first job arrives, but at most for this time.
+    :param cold_leave_s: after the first job, the unneeded machines leave gradually over
+        this time. A machine that moves is missing for 1.5 s, and the first burst
+        shows at this time.
+    :param burst_machines: arrivals that need fewer machines than this are not a burst.
     """
 
     least_machines: int = 2
@@ -57,12 +59,14 @@
 
 @attrs.frozen
 class MachineView:
-    """One machine as the decision sees it.
+    """The properties of one machine that decide about its moves.
 
-    :param free_to_move: up, idle, and nothing was ordered for it.
-    :param idle_for_s: since when nothing has run there.
+    :param free_to_move: it is up and idle, and no order for it is pending.
+    :param arriving: it is on its way into the pool.
+    :param idle_for_s: how long nothing has run on it.
     :param due: it still has to go into upkeep.
-    :param lost_share: of its processor room, what its runner says that it lacks now.
+    :param lost_share: the share of its CPU that its runner reports as missing at
+        present.
     """
 
     machine_id: str
@@ -80,9 +84,10 @@
 
 @attrs.frozen
 class PoolView:
-    """One pool and how many machines it should have.
+    """One pool and the number of machines that it should have.
 
-    :param keep: it gives none to the spare pool below this, though to other pools.
+    :param keep: the pool gives no machines to the spare pool below this size, but it
+        does give them to other pools.
     """
 
     name: str
@@ -93,7 +98,7 @@
 
 @attrs.frozen
 class Move:
-    """One machine into one pool."""
+    """A move of one machine into another pool."""
 
     machine_id: str
     source: str
@@ -103,12 +108,12 @@
 def target_size(
     demand: Demand, cpu: int, memory_mb: int, settings: CapacitySettings
 ) -> int:
-    """Return how many machines of a size a demand needs."""
+    """Return how many machines of the given size a demand needs."""
     by_cpu = demand.cpu * settings.demand_margin / cpu if cpu else 0.0
     by_memory = (
         demand.memory_mb * settings.demand_margin / memory_mb if memory_mb else 0
     )
-    needed = max(by_cpu, by_memory) + settings.headroom_machines - NEGLIGIBLE
+    needed = max(by_cpu, by_memory) + settings.headroom_machines - NEGLIGIBLE_MACHINES
     return max(settings.least_machines, demand.machines, math.ceil(needed))
 
 
@@ -117,21 +122,21 @@
     machines: t.Sequence[MachineView],
     settings: CapacitySettings,
 ) -> list[Move]:
-    """Return the moves that bring each pool to its size, cheapest first.
+    """Return the moves that bring each pool to its target size, cheapest first.
 
-    Only idle machines move. A pool that lacks machines gets them from the spare
-    pool, then straight from pools that have idle ones too many. What is idle for
-    a while and needed nowhere goes to the spare pool.
+    Only idle machines move. A pool that lacks machines gets them from the spare pool,
+    then directly from pools that have idle machines above their target. Machines that
+    have been idle for ``idle_s`` and that no pool needs go to the spare pool.
     """
     spares = [pool.name for pool in pools if pool.is_spare]
-    lacking = {
+    shortages = {
         pool.name: pool.target - _present(pool.name, machines)
         for pool in pools
         if not pool.is_spare
     }
     available = _from_spares(spares, machines)
-    available += _from_surplus(lacking, machines, settings)
-    moves = _moves_to_lacking(lacking, available)
+    available += _from_surplus(shortages, machines, settings)
+    moves = _moves_to_shortages(shortages, available)
     if spares:
         idle = [m for m in available if m.idle_for_s >= settings.idle_s]
         moves += _moves_to_spare(pools, machines, idle, moves, spares[0])
@@ -145,13 +150,13 @@
     moves: t.Iterable[Move],
     spare: str,
 ) -> list[Move]:
-    """Return moves of idle machines that pools do not keep.
+    """Return moves to the spare pool of idle machines that pools do not keep.
 
-    :param moves: what was decided before.
+    :param moves: the moves that are already planned.
     """
-    left = collections.Counter(move.source for move in moves)
+    leaving = collections.Counter(move.source for move in moves)
     may_leave = {
-        pool.name: _present(pool.name, machines) - pool.keep - left[pool.name]
+        pool.name: _present(pool.name, machines) - pool.keep - leaving[pool.name]
         for pool in pools
         if not pool.is_spare
     }
@@ -178,34 +183,37 @@
 
 
 def _from_surplus(
-    lacking: dict[str, int],
+    shortages: dict[str, int],
     machines: t.Sequence[MachineView],
     settings: CapacitySettings,
 ) -> list[MachineView]:
-    """Return the idle machines that pools with too many can give."""
+    """Return the idle machines of pools that are above their target."""
     found: list[MachineView] = []
-    for pool, missing in lacking.items():
+    for pool, missing in shortages.items():
         idle = [m for m in machines if m.pool == pool and m.free_to_move and m.usable]
         idle.sort(key=lambda machine: (not machine.due, -machine.idle_for_s))
         found += idle[: max(0, -missing)]
     return found
 
 
-def _moves_to_lacking(
-    lacking: dict[str, int], available: list[MachineView]
+def _moves_to_shortages(
+    shortages: dict[str, int], available: list[MachineView]
 ) -> list[Move]:
-    """Take machines off those available, for the pool that lacks most first."""
+    """Return moves for the available machines, to the largest shortage first.
+
+    The machines are removed from ``available``.
+    """
     moves: list[Move] = []
-    for pool in sorted(lacking, key=lambda name: -lacking[name]):
-        for _ in range(max(0, lacking[pool])):
-            machine = _take(available, pool)
+    for pool in sorted(shortages, key=lambda name: -shortages[name]):
+        for _ in range(max(0, shortages[pool])):
+            machine = _pop_from_other_pool(available, pool)
             if machine is None:
                 break
             moves.append(Move(machine.machine_id, machine.pool, pool))
     return moves
 
 
-def _take(available: list[MachineView], pool: str) -> MachineView | None:
+def _pop_from_other_pool(available: list[MachineView], pool: str) -> MachineView | None:
     for number, machine in enumerate(available):
         if machine.pool != pool:
             return available.pop(number)
--- a/src/streamthread/capacity/tests/test_demand.py
+++ b/src/streamthread/capacity/tests/test_demand.py
@@ -1,9 +1,10 @@
-"""How much room open work needs, beside a bound that knows what comes.
+"""The resources that open work needs, compared to an exact bound.
 
-The patterns: a steady stream of jobs, each of which has three times the time that it
-needs (the deployments' jobs have 1.6 times their chain and 0.6 s); a heavy tail of
-sizes; all jobs at once, as at the beginning of a turn. The bound is the least constant
-room in which work that is done in the order of its ends is done in time.
+The patterns are a steady stream of jobs that each have three times the time that they
+need (the deployments' jobs have 1.6 times their chain plus 0.6 s), a heavy tail of job
+sizes, and all jobs at once, as at the start of load on a pool. The bound is the
+smallest constant amount of CPU with which work that is done in the order of its
+deadlines is done in time.
 """
 
 import math
@@ -13,63 +14,65 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from streamthread.capacity.demand import room_for_work
+from streamthread.capacity.demand import required_resources
 from streamthread.capacity.demand import Work
 
 CPU_S = 12_000.0
-"""Work of a short job: 8 tasks of 0.64 s on 1.5 cores, in 1.6 steps."""
+"""Work of a short job: 8 tasks of 0.64 s on 1.5 cores, in 1.6 steps on average."""
 
 IN_TIME_S = 3.0
-"""What such a job may take."""
+"""Time that such a job may take."""
 
 JOBS_PER_S = 50
-"""In a turn of the heaviest queue."""
+"""Arrival rate while the busiest queue is under load."""
 
 
-def is_enough(room: float, works: list[Work]) -> bool:
-    """Whether work that is done in the order of its ends is done in time."""
+def is_enough(available_cpu: float, works: list[Work]) -> bool:
+    """Whether work that is done in the order of its deadlines is done in time."""
     done_at_s = 0.0
-    for work in sorted(works, key=lambda work: work.over_s):
-        done_at_s += work.cpu_s / room
-        if done_at_s > work.over_s * (1 + 1e-9):
+    for work in sorted(works, key=lambda work: work.spread_s):
+        done_at_s += work.cpu_s / available_cpu
+        if done_at_s > work.spread_s * (1 + 1e-9):
             return False
     return True
 
 
-def test_a_steady_stream_needs_its_rate_and_not_twice_that() -> None:
-    """Jobs of the last three seconds, each with the share of its work still open."""
+def test_a_steady_stream_needs_its_rate_but_not_twice_that() -> None:
+    """Jobs of the last three seconds, each with the share of its work that is open."""
     works = []
     for number in range(int(JOBS_PER_S * IN_TIME_S)):
         left_s = IN_TIME_S - number / JOBS_PER_S
         works.append(Work(left_s, CPU_S * left_s / IN_TIME_S, 0.0))
-    needed = room_for_work(works).cpu
+    needed = required_resources(works).cpu
     assert needed <= JOBS_PER_S * CPU_S
-    assert sum(work.cpu_s / work.over_s for work in works) >= 1.9 * needed
+    assert sum(work.cpu_s / work.spread_s for work in works) >= 1.9 * needed
 
 
-def test_a_turn_that_begins_needs_all_of_its_work_in_its_time() -> None:
+def test_simultaneous_jobs_need_all_of_their_work_in_their_time() -> None:
     works = [Work(IN_TIME_S, CPU_S, 0.0) for _ in range(JOBS_PER_S)]
-    assert room_for_work(works).cpu == pytest.approx(JOBS_PER_S * CPU_S / IN_TIME_S)
+    assert required_resources(works).cpu == pytest.approx(
+        JOBS_PER_S * CPU_S / IN_TIME_S
+    )
 
 
-def test_one_late_job_among_many_counts_for_itself() -> None:
+def test_one_late_job_among_many_determines_the_resources() -> None:
     works = [Work(IN_TIME_S, CPU_S, 0.0) for _ in range(5)]
-    assert room_for_work([*works, Work(0.3, CPU_S, 0.0)]).cpu == pytest.approx(
+    assert required_resources([*works, Work(0.3, CPU_S, 0.0)]).cpu == pytest.approx(
         CPU_S / 0.3
     )
 
 
-def test_nothing_needs_nothing() -> None:
-    assert room_for_work([]).cpu == 0.0
+def test_no_work_needs_no_resources() -> None:
+    assert required_resources([]).cpu == 0.0
 
 
-def test_a_heavy_tail_is_done_in_time_and_with_no_less() -> None:
-    choices = random.Random(7)
+def test_a_heavy_tail_is_done_in_time_but_not_with_less() -> None:
+    rng = random.Random(7)
     works = [
-        Work(choices.uniform(0.3, 9.0), CPU_S * choices.paretovariate(1.2), 0.0)
+        Work(rng.uniform(0.3, 9.0), CPU_S * rng.paretovariate(1.2), 0.0)
         for _ in range(200)
     ]
-    needed = room_for_work(works).cpu
+    needed = required_resources(works).cpu
     assert is_enough(needed, works)
     assert not is_enough(0.99 * needed, works)
 
@@ -81,9 +84,9 @@
         max_size=30,
     )
 )
-def test_it_is_the_least_that_is_enough(works: list[Work]) -> None:
-    needed = room_for_work(works)
+def test_it_is_the_smallest_sufficient_amount(works: list[Work]) -> None:
+    needed = required_resources(works)
     assert is_enough(needed.cpu, works)
     assert not is_enough(0.99 * needed.cpu, works)
-    assert needed.cpu <= sum(work.cpu_s / work.over_s for work in works) * (1 + 1e-9)
+    assert needed.cpu <= sum(work.cpu_s / work.spread_s for work in works) * (1 + 1e-9)
     assert math.isfinite(needed.memory_mb)
--- a/src/streamthread/capacity/tests/test_plan.py
+++ b/src/streamthread/capacity/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Moves between pools, under any view."""
+"""Moves between pools, for arbitrary views."""
 
 import collections
 
@@ -55,7 +55,7 @@
             assert by_id[move.machine_id].pool == move.source != move.target
 
     @given(machine_lists, st.integers(0, 8), st.integers(0, 8))
-    def test_never_take_a_pool_below_its_size(
+    def test_never_shrink_a_pool_below_its_target(
         self, machines: list[MachineView], one: int, two: int
     ) -> None:
         moves = plan_moves(_pools(one, two), machines, SETTINGS)
@@ -65,7 +65,7 @@
             if leaving[pool]:
                 assert present - leaving[pool] >= target
 
-    def test_fill_a_lacking_pool_from_the_spare_one_first(self) -> None:
+    def test_fill_a_shortage_from_the_spare_pool_first(self) -> None:
         machines = [
             MachineView("m1", "two", "r", 1, 1, free_to_move=True, idle_for_s=9),
             MachineView("m2", "spare", "r", 1, 1, free_to_move=True, usable=False),
@@ -73,7 +73,7 @@
         (move,) = plan_moves(_pools(1, 1), machines, SETTINGS)
         assert (move.machine_id, move.target) == ("m2", "one")
 
-    def test_spare_what_is_idle_for_a_while_only(self) -> None:
+    def test_send_only_long_idle_machines_to_the_spare_pool(self) -> None:
         def view(idle_for_s: float) -> MachineView:
             return MachineView(
                 "m1", "one", "r", 1, 1, free_to_move=True, idle_for_s=idle_for_s
@@ -84,7 +84,7 @@
         assert move.target == "spare"
 
     @given(machine_lists, st.integers(0, 8), st.integers(0, 8))
-    def test_to_the_spare_pool_leave_what_is_kept(
+    def test_to_the_spare_pool_respect_the_size_to_keep(
         self, machines: list[MachineView], one: int, keep: int
     ) -> None:
         pools = [
@@ -93,13 +93,13 @@
             PoolView("spare", True),
         ]
         moves = plan_moves(pools, machines, SETTINGS)
-        spared = sum(m.source == "one" and m.target == "spare" for m in moves)
-        gone = sum(move.source == "one" for move in moves)
+        moved_to_spare = sum(m.source == "one" and m.target == "spare" for m in moves)
+        leaving_count = sum(move.source == "one" for move in moves)
         present = sum(m.pool == "one" and (m.usable or m.arriving) for m in machines)
-        if spared:
-            assert present - gone >= keep
+        if moved_to_spare:
+            assert present - leaving_count >= keep
 
-    def test_between_pools_take_what_is_kept_too(self) -> None:
+    def test_between_pools_ignore_the_size_to_keep(self) -> None:
         machines = [
             MachineView("m1", "one", "r", 1, 1, free_to_move=True, idle_for_s=9)
         ]
@@ -114,11 +114,11 @@
 
 class TestSize:
     @given(st.floats(0, 1e6), st.floats(0, 1e6))
-    def test_holds_the_demand(self, cpu: float, memory_mb: float) -> None:
+    def test_is_sufficient_for_the_demand(self, cpu: float, memory_mb: float) -> None:
         size = target_size(Demand(cpu, memory_mb), 16000, 32768, SETTINGS)
         assert size * 16000 >= cpu
         assert size * 32768 >= memory_mb
         assert size >= SETTINGS.least_machines
 
-    def test_allows_the_spread_of_lasting_tasks(self) -> None:
+    def test_allows_the_spread_of_long_running_tasks(self) -> None:
         assert target_size(Demand(0, 0, 7), 16000, 32768, SETTINGS) == 7
