--- a/src/streamthread/platform/advice.py
+++ b/src/streamthread/platform/advice.py
@@ -1,4 +1,4 @@
-"""The service that says which runners may run a step."""
+"""Client of the advice service, which decides which runners may run a step."""
 
 import typing as t
 
@@ -15,18 +15,18 @@
 
 __all__ = ["Advice", "AdviceClient", "Ticket"]
 
-MOST_RUNNERS_PER_CALL = 100
-"""Ids beyond these are left out of a call."""
+MAX_RUNNERS_PER_CALL = 100
+"""A call contains only this many runner ids; further ones are left out."""
 
 CONNECTIONS = 1
-"""The service takes one call at a time from us."""
+"""The service accepts one call at a time from each client."""
 
 _ADVISE = "/-/advise"
 
 
 @attrs.frozen
 class Ticket:
-    """Lets one life of a runner run the tasks of one step."""
+    """Permits one incarnation of a runner to run the tasks of one step."""
 
     runner_id: str
     text: str
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Advice:
-    """The runners that may run a step; tickets hold for ``valid_s``."""
+    """The runners that may run a step; their tickets are valid for ``valid_s``."""
 
     tickets: tuple[Ticket, ...]
     valid_s: float | None
@@ -46,7 +46,7 @@
 
 
 class _AdviceAnswer(msgspec.Struct):
-    """``valid_ms`` also has the spelling ``validMs``."""
+    """The service spells ``valid_ms`` also as ``validMs``."""
 
     good: list[msgspec.Raw] = []
     valid_ms: Amount | None = None
@@ -61,7 +61,7 @@
     """The client of the advice service.
 
     :param address: ``host:port``.
-    :param timeout_s: an answer begins within this time.
+    :param timeout_s: maximum time until an answer begins.
     """
 
     def __init__(
@@ -74,10 +74,10 @@
     async def advise(self, step: str, runner_ids: t.Sequence[str]) -> Advice:
         """Ask which of the runners may run a step (``ID.K.STEP``).
 
-        A row that can't be read allows no runner.
+        A row that cannot be decoded permits no runner.
         """
         self.calls += 1
-        body = {"step": step, "workers": list(runner_ids[:MOST_RUNNERS_PER_CALL])}
+        body = {"step": step, "workers": list(runner_ids[:MAX_RUNNERS_PER_CALL])}
         answer = await self._caller.call(
             "POST", self._url + _ADVISE, body, timeout_s=self._timeout_s
         )
--- a/src/streamthread/platform/callers.py
+++ b/src/streamthread/platform/callers.py
@@ -1,4 +1,4 @@
-"""Decodes what callers hand in, and encodes what they are answered."""
+"""Decodes the jobs that callers submit, and encodes the answers to callers."""
 
 import json
 import typing as t
@@ -25,39 +25,42 @@
 ]
 
 DEADLINE_HEADER = "Streamthread-Deadline-Ms"
-"""How long the caller waits for this answer, in milliseconds."""
+"""Header with the time that the caller waits for this answer, in milliseconds."""
 
 KEY_HEADER = "Streamthread-Credential"
-"""The key of a client account, and nothing else."""
+"""Header that contains the API key of a client account and nothing else."""
 
 KEY_CHALLENGE = f'Key header="{KEY_HEADER}"'
-"""Tells a caller without a valid key, in ``WWW-Authenticate``, where one belongs."""
+"""Value of ``WWW-Authenticate`` that names the key header to a caller without a valid
+key."""
 
-MOST_SPEC_BYTES = 4000
-"""The longest text that a job may carry for its tasks."""
+MAX_SPEC_BYTES = 4000
+"""Maximum length of the ``spec`` text that a job carries for its tasks."""
 
-
-MOST_TASKS = 100_000
-"""Of one job: five for each of 18,000 workers. Each takes 0.5 KB of the holder's
-memory, so that a mistyped count must not take all of it."""
+MAX_TASKS = 100_000
+"""Maximum number of tasks of one job: five for each of 18,000 workers. Each task takes
+0.5 KB of the holder's memory, and a mistyped count must not use all of it."""
 
 
 @attrs.frozen
 class StepRequest:
-    """One step of a job, as it was handed in.
+    """One step of a submitted job.
 
-    :param cpu: thousandths of a core that each task asks for.
+    :param cpu: thousandths of a core that each task requests.
     :param after: numbers of earlier steps that must be done first.
-    :param same_rack: a gang over several racks is slower.
-    :param requires: a label that the runner must have; on the wire alike.
-    :param near_rack: the rack where the data lies; on the wire ``colocate``.
-    :param most_per_runner: of this step's tasks; 0: any; on the wire
-        ``antiAffinity``.
-    :param speculative: copies of a task may run side by side.
-    :param lasting: tasks run until the job is cancelled.
-    :param target_ms: the tail latency that a lasting task must stay under.
-    :param fills: its tasks use what others leave; their cpu takes no room.
-    :param may_miss: how many lasting tasks we may hold away at once, or None.
+    :param same_rack: the step's gang is slower if it runs on several racks.
+    :param requires: a label that the runner must have.
+    :param near_rack: the rack that holds the data; on the wire ``colocate``.
+    :param most_per_runner: maximum number of the step's tasks on one runner, 0 for no
+        limit; on the wire ``antiAffinity``.
+    :param speculative: speculative copies of a task may run in parallel.
+    :param lasting: the tasks are long-running: they run until the job is cancelled; on
+        the wire ``longRunning``.
+    :param target_ms: the upper limit of a long-running task's tail latency.
+    :param fills: its tasks use the CPU that others leave idle, so that their ``cpu`` is
+        not reserved.
+    :param may_miss: how many of its long-running tasks this system may interrupt at
+        once, or None.
     """
 
     count: int = 1
@@ -82,10 +85,10 @@
 
 @attrs.frozen
 class JobRequest:
-    """A job as it was handed in.
+    """A submitted job.
 
-    :param times: how often its steps run; 0: once, at once.
-    :param first_due_ms: when the first time falls due, since 1970.
+    :param times: number of scheduled occurrences; 0: it runs once, immediately.
+    :param first_due_ms: when the first occurrence is due, in ms since 1970.
     """
 
     spec: str
@@ -96,7 +99,7 @@
 
 
 class _StepRow(msgspec.Struct, rename="camel"):
-    """One step on the wire; two of its names have two spellings."""
+    """A step in its wire format; two of its names have two spellings."""
 
     count: Count = 1
     cpu: Count = 0
@@ -132,21 +135,21 @@
 
 
 def decode_job(body: bytes) -> JobRequest:
-    """Decode a job.
+    """Decode a submitted job.
 
-    :raises BadInputError: it is no job.
+    :raises BadInputError: the body is not a valid job.
     """
     row = _JOBS.decode(body, "")
     steps = tuple(_step(step) for step in row.steps)
     if not steps:
-        raise _JOBS.refuse_at("$.steps", "has no step", "")
-    if len(row.spec.encode()) > MOST_SPEC_BYTES:
-        raise _JOBS.refuse_at("$.spec", f"is over {MOST_SPEC_BYTES} bytes", "")
-    if sum(step.count for step in steps) > MOST_TASKS:
-        raise _JOBS.refuse_at("$.steps", f"has over {MOST_TASKS} tasks", "")
+        raise _JOBS.refuse_at("$.steps", "contains no steps", "")
+    if len(row.spec.encode()) > MAX_SPEC_BYTES:
+        raise _JOBS.refuse_at("$.spec", f"is longer than {MAX_SPEC_BYTES} bytes", "")
+    if sum(step.count for step in steps) > MAX_TASKS:
+        raise _JOBS.refuse_at("$.steps", f"has more than {MAX_TASKS} tasks", "")
     for number, step in enumerate(steps):
         if any(not 0 <= earlier < number for earlier in step.after):
-            message = "waits for a step that is not before it"
+            message = "refers to a step that does not precede this one"
             raise _JOBS.refuse_at(f"$.steps[{number}].after", message, "")
     return JobRequest(
         spec=row.spec,
@@ -182,7 +185,7 @@
     )
 
 
-_STEP_NAMES: tuple[tuple[str, str], ...] = (
+_STEP_WIRE_NAMES: tuple[tuple[str, str], ...] = (
     ("count", "count"),
     ("cpu", "cpu"),
     ("memory_mb", "memMb"),
@@ -203,7 +206,7 @@
 
 
 def encode_job(request: JobRequest) -> bytes:
-    """Encode a job as it is handed in; empty fields are left out."""
+    """Encode a job as callers submit it; empty fields are left out."""
     value: JsonObject = {"spec": request.spec}
     value["steps"] = [_encode_step(step) for step in request.steps]
     if request.times:
@@ -215,7 +218,7 @@
 
 def _encode_step(step: StepRequest) -> JsonObject:
     row: dict[str, t.Any] = {}
-    for name, wire in _STEP_NAMES:
+    for name, wire in _STEP_WIRE_NAMES:
         value = getattr(step, name)
         if value:
             row[wire] = value
@@ -232,5 +235,5 @@
 
 
 def encode_pending(count: int) -> bytes:
-    """Encode how many jobs of a queue have not begun."""
+    """Encode the number of jobs in a queue that have not started."""
     return json.dumps({"pending": count}).encode()
--- a/src/streamthread/platform/http.py
+++ b/src/streamthread/platform/http.py
@@ -1,4 +1,4 @@
-"""One way of calling the platform over HTTP, with typed failures."""
+"""HTTP calls to the platform's services, with typed errors."""
 
 import asyncio
 import functools
@@ -27,36 +27,39 @@
 JsonObject = dict[str, t.Any]
 
 T = t.TypeVar("T")
-"""What an answer is read as."""
+"""The type that an answer is decoded to."""
 
 INSTANCE_HEADER = "Streamthread-Instance-Id"
 JSON_HEADERS = {"Content-Type": "application/json"}
 UNUSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding")
-"""Set by the library and read by nobody here: a tenth of a small request."""
+"""Headers that the library sets by default and no service reads: a tenth of a small
+request."""
 
 IDLE_CONNECTION_S = 30.0
-"""New connections are priced, so idle ones are kept for as long as a quiet spell."""
+"""Idle connections are kept for this time, as long as a quiet period lasts, since new
+connections have a price."""
 
-URLS_KEPT = 4096
-"""Parsed addresses that are kept: a few for each runner of a large deployment."""
+URL_CACHE_SIZE = 4096
+"""Number of parsed URLs in the cache: a few for each runner of a large deployment."""
 
 NO_BODY = b"{}"
-"""An answer without a body says nothing beside its status."""
+"""Stands for the body of an answer that has none, and therefore only a status."""
 
 SILENCE_S = 0.8
-"""An answer that has begun is waited for while more of it comes so soon. Its length is
-no limit: 1.1 MB of configuration take 1.75 s over the smallest links (5 Mbit/s); with
-1.2 s for a whole answer it never came into force there."""
+"""Maximum pause between two pieces of an answer that has begun. The total duration is
+not limited: 1.1 MB of configuration take 1.75 s over the slowest links (5 Mbit/s), and
+with a limit of 1.2 s for the whole answer, that configuration never came into force
+there."""
 
-_WAIT = "it is tried again; nothing is lost"
+_RETRY_REMEDY = "the call is retried automatically; no data is lost"
 
 
 @attrs.frozen
 class Answer:
-    """One whole answer; :meth:`HttpCaller.read` tells what it says.
+    """One complete answer; :meth:`HttpCaller.read` decodes it.
 
-    :param url: what was called.
-    :param instance_id: which life of a runner answered, where it says so.
+    :param url: the URL that was called.
+    :param instance_id: the runner incarnation that answered, if the answer names it.
     """
 
     status: int
@@ -67,9 +70,9 @@
 
 @attrs.define
 class _Progress:
-    """How far a call has come; told when it fails.
+    """The progress of a call, for the error message if it fails.
 
-    :param received_bytes: of the answer's body.
+    :param received_bytes: how much of the answer's body has arrived.
     """
 
     began_at_s: float = attrs.field(factory=boot_s)
@@ -81,19 +84,19 @@
 
 
 class _Connector(aiohttp.TCPConnector):
-    """Keeps idle connections, and closes those that most likely bring nothing more."""
+    """Keeps idle connections, and can close those that are most likely dead."""
 
     def close_idle(self, url: yarl.URL) -> int:
         """Close the idle connections to a URL's address.
 
-        :return: how many they were.
+        :return: the number of closed connections.
         """
-        # The library names no way to its idle connections. It skips closed ones.
+        # The library has no public API for its idle connections. It skips closed ones.
         idle = [
             protocol
-            for key, kept in self._conns.items()
+            for key, entries in self._conns.items()
             if (key.host, key.port) == (url.host, url.port)
-            for protocol, _ in kept
+            for protocol, _ in entries
             if protocol.is_connected()
         ]
         for protocol in idle:
@@ -102,15 +105,16 @@
 
 
 class HttpCaller:
-    """Calls one kind of service; connections are kept and counted.
+    """Calls one kind of service; reuses connections and limits their number.
 
-    Where one connection to an address has fallen silent, the idle ones have most likely
-    done so too. They are closed, so that the next call makes a new one: else each of
-    them costs a call its whole time limit, one after the other. Measured with all of
-    them silent at once: 8.7 s without a list of machines, four times a limit of 2 s.
+    If one connection to an address has stopped responding, the idle ones most likely
+    have, too. They are closed, so that the next call opens a new connection. Otherwise,
+    each dead connection would cost one call its full time limit, one call after the
+    other: with all of them dead at once, the list of machines was missing for 8.7 s,
+    four times its time limit of 2 s.
 
-    :param connections_per_address: the most connections to one address.
-    :param notes: is told of answers that can't be read.
+    :param connections_per_address: maximum number of connections to one address.
+    :param notes: records answers that cannot be decoded.
     """
 
     def __init__(
@@ -128,7 +132,7 @@
                 limit_per_host=self._limit,
                 keepalive_timeout=IDLE_CONNECTION_S,
             )
-            # Calls have their own time limit, and the platform sets no cookies.
+            # Each call has its own time limit, and the platform sets no cookies.
             self._session = aiohttp.ClientSession(
                 connector=self._connector,
                 auto_decompress=False,
@@ -155,11 +159,12 @@
     ) -> Answer:
         """Make one call.
 
-        :param timeout_s: the answer begins so soon; :data:`SILENCE_S` bounds each
-            pause after that.
-        :raises StoreUnavailableError: no connection could be made, so the call
-            was certainly not carried out.
-        :raises OutcomeUnknownError: the call was sent and no whole answer came.
+        :param timeout_s: maximum time until the answer begins; after that,
+            :data:`SILENCE_S` limits each pause.
+        :raises StoreUnavailableError: no connection could be opened, so the call was
+            certainly not carried out.
+        :raises OutcomeUnknownError: the call may have been sent, and no complete answer
+            arrived.
         """
         all_headers = JSON_HEADERS if headers is None else JSON_HEADERS | headers
         data = None if body is None else _encode(body)
@@ -176,36 +181,36 @@
                     return await _read_answer(response, limit, progress, url)
         except aiohttp.ClientConnectorError as error:
             raise StoreUnavailableError(
-                str(error), remedy=_WAIT, location=url
+                str(error), remedy=_RETRY_REMEDY, location=url
             ) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             failure = OutcomeUnknownError
             if isinstance(error, TimeoutError):
-                self._on_silence(_parse_url(url))
+                self._close_idle_connections(_parse_url(url))
                 failure = NoAnswerError
             raise failure(
-                f"no whole answer ({type(error).__name__} {progress})",
-                remedy=_WAIT,
+                f"no complete answer ({type(error).__name__} {progress})",
+                remedy=_RETRY_REMEDY,
                 location=url,
             ) from error
 
     def read(self, answer: Answer, decoder: Decoder[T]) -> T:
-        """Return what an answer says.
+        """Decode an answer.
 
-        :raises OutcomeUnknownError: it can't be read; the call may have been carried
-            out.
+        :raises OutcomeUnknownError: the answer cannot be decoded; the call may have
+            been carried out.
         """
         try:
             return decoder.decode(answer.text or NO_BODY, answer.url)
         except UnreadableError as error:
             self._notes.note(Source.ANSWER, error)
             raise OutcomeUnknownError(
-                f"an answer can't be read: {error.message} at {error.field}",
-                remedy=_WAIT,
+                f"the answer cannot be decoded: {error.message} at {error.field}",
+                remedy=_RETRY_REMEDY,
                 location=answer.url,
             ) from error
 
-    def _on_silence(self, url: yarl.URL) -> None:
+    def _close_idle_connections(self, url: yarl.URL) -> None:
         closed = 0 if self._connector is None else self._connector.close_idle(url)
         if closed:
             log.info(
@@ -215,12 +220,12 @@
 
 
 class ServiceClient:
-    """What the clients of services with one address share.
+    """Base class for clients of a service with one address.
 
     :param address: ``host:port``.
-    :param timeout_s: an answer begins within this time.
-    :param connections: the most that are open at once.
-    :param notes: is told of answers that can't be read.
+    :param timeout_s: maximum time until an answer begins.
+    :param connections: maximum number of open connections.
+    :param notes: records answers that cannot be decoded.
     """
 
     def __init__(
@@ -239,7 +244,7 @@
         await self._caller.close()
 
 
-@functools.lru_cache(maxsize=URLS_KEPT)
+@functools.lru_cache(maxsize=URL_CACHE_SIZE)
 def _parse_url(url: str) -> yarl.URL:
     return yarl.URL(url)
 
@@ -254,7 +259,7 @@
     progress: _Progress,
     url: str,
 ) -> Answer:
-    """Read an answer that has begun; each piece of it moves the time limit."""
+    """Read an answer that has begun; each piece extends the time limit."""
     loop = asyncio.get_running_loop()
     limit.reschedule(loop.time() + SILENCE_S)
     parts: list[bytes] = []
@@ -267,16 +272,21 @@
 
 
 def refuse_status(answer: Answer, url: str) -> None:
-    """Raise for statuses that say that nothing was done.
+    """Raise an error for the statuses 429, 503 and other server errors.
 
-    :raises StoreThrottledError: over a rate.
-    :raises StoreUnavailableError: refused for now.
+    :raises StoreThrottledError: a rate limit was exceeded; nothing was done.
+    :raises StoreUnavailableError: the call was refused for now; nothing was done.
+    :raises OutcomeUnknownError: another server error; the outcome is not known.
     """
     if answer.status == 429:
-        raise StoreThrottledError("over its rate", remedy=_WAIT, location=url)
+        raise StoreThrottledError(
+            "rate limit exceeded", remedy=_RETRY_REMEDY, location=url
+        )
     if answer.status == 503:
-        raise StoreUnavailableError("refused", remedy=_WAIT, location=url)
+        raise StoreUnavailableError(
+            "the service refused the call for now", remedy=_RETRY_REMEDY, location=url
+        )
     if answer.status >= 500:
         raise OutcomeUnknownError(
-            f"answered with status {answer.status}", remedy=_WAIT, location=url
+            f"answered with status {answer.status}", remedy=_RETRY_REMEDY, location=url
         )
--- a/src/streamthread/platform/tests/test_http.py
+++ b/src/streamthread/platform/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Calls whose answers are long, or stop in the middle."""
+"""Calls with answers that are long or that stop before their end."""
 
 import asyncio
 import typing as t
@@ -13,7 +13,7 @@
 TABLE = "table"
 LONG_VALUE = "a" * 200_000
 RATE_BYTES_PER_S = 200_000.0
-"""A second for the long value: more than three times what the calls here allow."""
+"""The long value takes one second, more than three times the timeout of the calls."""
 
 ANSWER_S = 0.3
 
@@ -35,7 +35,7 @@
 
 
 class TestLongAnswers:
-    async def test_are_read_for_as_long_as_more_of_them_comes(
+    async def test_are_read_as_long_as_data_arrives(
         self, store: StoreStandin, client: RowStore
     ) -> None:
         store.faults.answer_bytes_per_s = RATE_BYTES_PER_S
@@ -43,7 +43,7 @@
         assert row.value is not None
         assert len(row.value) == len(LONG_VALUE) * 3 // 4
 
-    async def test_are_given_up_when_no_more_of_them_comes(
+    async def test_time_out_when_no_more_data_arrives(
         self,
         store: StoreStandin,
         client: RowStore,
@@ -65,7 +65,7 @@
 
 
 class TestSilentConnections:
-    async def test_cost_one_call_however_many_there_are(
+    async def test_cost_only_one_call_in_total(
         self, store: StoreStandin, client: RowStore
     ) -> None:
         store.faults.delay_s = ANSWER_S / 2
@@ -77,7 +77,7 @@
         (row,) = (await client.read(TABLE, "")).rows
         assert row.key == "key"
 
-    async def test_at_work_are_left_alone(
+    async def test_are_not_closed_while_in_use(
         self, store: StoreStandin, client: RowStore
     ) -> None:
         await client.read(TABLE, "")
