--- a/src/streamthread/platform/cloud.py
+++ b/src/streamthread/platform/cloud.py
@@ -1,4 +1,4 @@
-"""Calls to the service that owns the machines."""
+"""Client of the cloud service, which owns the machines."""
 
 import enum
 import typing as t
@@ -13,7 +13,7 @@
 from ..errors import UnreadableError
 from ..unreadable import UnreadableNotes
 from .documents import rack_of
-from .documents import RoomRow
+from .documents import ResourcesRow
 from .http import Answer
 from .http import JsonObject
 from .http import refuse_status
@@ -29,14 +29,14 @@
 ]
 
 CONNECTIONS = 4
-"""For the list and a few duties at once; others wait for a free connection."""
+"""Enough for the list and a few parallel duties; others wait for a free connection."""
 
 HOLDER_HEADER = "Streamthread-Lease-Holder"
 TOKEN_HEADER = "Streamthread-Fencing-Token"
 
 
 class MachineState(enum.Enum):
-    """What a machine is doing."""
+    """The state of a machine, as the cloud service reports it."""
 
     UP = "up"
     MOVING = "moving"
@@ -45,7 +45,7 @@
 
 
 class DutyReply(enum.Enum):
-    """The answer to a move or an upkeep."""
+    """The result of a move or an upkeep order."""
 
     DONE = "done"
     FENCED = "fence"
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class Machine:
-    """One machine; ``runner_id`` names the life of a runner that it hosts."""
+    """One machine; ``runner_id`` names the runner incarnation that it hosts."""
 
     machine_id: str
     pool: str
@@ -70,13 +70,13 @@
 
     @property
     def rack(self) -> str:
-        """The label of the rack it stands in."""
+        """The label of the machine's rack."""
         return rack_of(self.labels)
 
 
 @attrs.frozen
 class UnreadableMachine:
-    """A row of the list that can't be read; its machine's id is empty if even that."""
+    """A list row that cannot be decoded; the id is empty if it is unreadable, too."""
 
     machine_id: str
     error: UnreadableError
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class MachineList:
-    """All machines, and the rows that tell of none."""
+    """All machines, and the rows that cannot be decoded."""
 
     machines: tuple[Machine, ...]
     unreadable: tuple[UnreadableMachine, ...] = ()
@@ -94,7 +94,7 @@
     machine: Name
     pool: str
     state: MachineState
-    capacity: RoomRow
+    capacity: ResourcesRow
     zone: str = ""
     labels: tuple[str, ...] | None = None
     id: Text = None
@@ -118,16 +118,16 @@
 _MACHINE_NAMES = Decoder[_MachineName](_MachineName)
 _DUTIES = Decoder[_DutyAnswer](_DutyAnswer)
 
-MOST_PAGES = 1000
-"""A list that goes on for longer is taken as one that names no end: 18,000 machines
-take 180 pages of 100."""
+MAX_PAGES = 1000
+"""A list with more pages is treated as one that never ends: 18,000 machines take 180
+pages of 100."""
 
 
 class CloudClient(ServiceClient):
-    """The client of the machines' owner.
+    """Client of the cloud service.
 
     :param address: ``host:port``.
-    :param timeout_s: an answer begins within this time.
+    :param timeout_s: maximum time until an answer begins.
     """
 
     def __init__(
@@ -137,11 +137,11 @@
         self.calls: dict[str, int] = {"list": 0, "move": 0, "upkeep": 0}
 
     async def machines(self) -> MachineList:
-        """Return all machines, page by page."""
+        """Return all machines; the list is read page by page."""
         found: list[Machine] = []
         unreadable: list[UnreadableMachine] = []
         token = ""
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             self.calls["list"] += 1
             answer = await self._caller.call(
                 "GET",
@@ -160,28 +160,28 @@
             if not token:
                 return MachineList(tuple(found), tuple(unreadable))
         raise OutcomeUnknownError(
-            "the list of machines has no end",
-            remedy="it is read again",
+            "the list of machines exceeds the maximum number of pages",
+            remedy="the list is read again automatically",
             location="/-/machines",
         )
 
     async def move(
         self, machine_id: str, pool: str, holder: str, fencing_token: int
     ) -> DutyReply:
-        """Move a machine into a pool; all that runs there dies at once."""
+        """Move a machine into a pool; this kills everything that runs on it."""
         self.calls["move"] += 1
         body = {"machine": machine_id, "pool": pool}
-        return await self._duty("/-/machine-move", body, holder, fencing_token)
+        return await self._send_duty("/-/machine-move", body, holder, fencing_token)
 
     async def upkeep(
         self, machine_id: str, wave: int, holder: str, fencing_token: int
     ) -> DutyReply:
-        """Begin a machine's upkeep; all that runs there dies at once."""
+        """Start a machine's upkeep; this kills everything that runs on it."""
         self.calls["upkeep"] += 1
         body = {"machine": machine_id, "wave": wave}
-        return await self._duty("/-/machine-upkeep", body, holder, fencing_token)
+        return await self._send_duty("/-/machine-upkeep", body, holder, fencing_token)
 
-    async def _duty(
+    async def _send_duty(
         self, path: str, body: JsonObject, holder: str, fencing_token: int
     ) -> DutyReply:
         answer = await self._caller.call(
@@ -195,7 +195,7 @@
         return self._decode_duty(answer)
 
     def _decode_duty(self, answer: Answer) -> DutyReply:
-        """:raises OutcomeUnknownError: it was refused for a reason not known here."""
+        """:raises OutcomeUnknownError: it was refused for an unknown reason."""
         if answer.status == 200:
             return DutyReply.DONE
         if answer.status == 409:
@@ -204,7 +204,7 @@
 
 
 def _decode_machine(text: msgspec.Raw) -> Machine:
-    """:raises UnreadableError: its key is the machine's id, where that is readable."""
+    """:raises UnreadableError: its key is the machine's id, if that is readable."""
     try:
         row = _MACHINES.decode(text, "")
     except UnreadableError as error:
--- a/src/streamthread/platform/documents.py
+++ b/src/streamthread/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the waves, and what the runners write of themselves into the store."""
+"""Decodes upkeep waves and the entries that runners write into the store."""
 
 import enum
 import json
@@ -15,12 +15,12 @@
 from ..decoding import Text
 
 __all__ = [
+    "EXTERNAL_TABLES",
     "OPERATOR_TABLE",
     "RUNNERS_TABLE",
     "STATUS_TABLE",
     "WAVE_PREFIX",
-    "WRITTEN_BY_OTHERS",
-    "RoomRow",
+    "ResourcesRow",
     "RunnerEntry",
     "Wave",
     "decode_runner_entry",
@@ -30,28 +30,28 @@
 ]
 
 OPERATOR_TABLE = "op"
-"""What the operator writes: the manifest and the waves."""
+"""Table that the operator writes: the manifest and the waves."""
 
 WAVE_PREFIX = "wave/"
-"""Before a wave's number: its row's key, and that of its state."""
+"""Key prefix of a wave's row and of its status row; the wave's number follows."""
 
 STATUS_TABLE = "status"
-"""What the operator reads: the waves' states."""
+"""Table that the operator reads: the states of the waves."""
 
 RUNNERS_TABLE = "servers"
-"""One row a runner, under its id, written by the runner itself."""
+"""Table with one row per runner under its id, written by the runner itself."""
 
-
-WRITTEN_BY_OTHERS = (OPERATOR_TABLE, RUNNERS_TABLE)
-"""The tables that this system reads and does not write."""
+EXTERNAL_TABLES = (OPERATOR_TABLE, RUNNERS_TABLE)
+"""The tables that this system reads but does not write."""
 
 
 @attrs.frozen
 class RunnerEntry:
-    """A runner as it describes itself in the store, about each heartbeat.
+    """The entry that a runner writes into the store with about each heartbeat.
 
-    :param draining: it is about to leave, and starts nothing new.
-    :param born_ms: when this life of it began, in ms since 1970; None: not told.
+    :param draining: the runner is about to leave, and starts no new tasks.
+    :param born_ms: when this incarnation started, in ms since 1970, or None if the
+        entry does not say.
     """
 
     runner_id: str
@@ -69,10 +69,10 @@
 
 @attrs.frozen
 class Wave:
-    """Machines that are due for upkeep.
+    """A set of machines that are due for upkeep.
 
-    :param duration_s: how long all of it may take.
-    :param most_at_once: how many may be down for it together.
+    :param duration_s: maximum duration of the whole wave.
+    :param most_at_once: how many machines may be in upkeep at the same time.
     """
 
     number: int
@@ -81,11 +81,11 @@
     most_at_once: int
 
 
-# What stands in the store: the names on the wire, and the types that hold there.
+# The stored format: the names on the wire and their types.
 
 
-class RoomRow(msgspec.Struct, rename="camel"):
-    """The room of a runner or of a machine, as it stands on the wire."""
+class ResourcesRow(msgspec.Struct, rename="camel"):
+    """The resources of a runner or a machine, in their wire format."""
 
     cpu: Count
     mem_mb: Count
@@ -98,13 +98,13 @@
 
 
 class _RunnerRow(msgspec.Struct, rename="camel"):
-    """All that the pages name; what we don't use tells a runner from another writer."""
+    """All documented fields; the unused ones tell a runner's entry from other rows."""
 
     service: Name
     address: HostPort
     zone: str
     state: _RunnerState
-    capacity: RoomRow
+    capacity: ResourcesRow
     labels: tuple[str, ...]
     machine: Text = None
     version: str = ""
@@ -121,25 +121,25 @@
     maximum: t.Annotated[int, msgspec.Meta(ge=1)] = 1
 
 
-MOST_ENTRY_BYTES = 16 * 1024
-"""Of a runner's entry, which takes 0.3 KB: some hundred labels more find room. 300
-entries of this length are parsed in 8 ms."""
+MAX_ENTRY_BYTES = 16 * 1024
+"""Maximum size of a runner's entry. A usual entry takes 0.3 KB, so that this leaves
+space for hundreds of further labels. 300 entries of this size are parsed in 8 ms."""
 
-MOST_WAVE_BYTES = 1024 * 1024
-"""Of a wave: 18,000 machines take 0.4 MB."""
+MAX_WAVE_BYTES = 1024 * 1024
+"""Maximum size of a wave: 18,000 machines take 0.4 MB."""
 
-_RUNNERS = Decoder[_RunnerRow](_RunnerRow, MOST_ENTRY_BYTES)
-_WAVES = Decoder[_WaveRow](_WaveRow, MOST_WAVE_BYTES)
+_RUNNERS = Decoder[_RunnerRow](_RunnerRow, MAX_ENTRY_BYTES)
+_WAVES = Decoder[_WaveRow](_WaveRow, MAX_WAVE_BYTES)
 
 
 def decode_runner_entry(runner_id: str, value: bytes) -> RunnerEntry:
-    """Decode a runner's entry; its key is the runner's id.
+    """Decode a runner's entry, whose key is the runner's id.
 
-    :raises UnreadableError: it names no runner that could be used.
+    :raises UnreadableError: the entry does not describe a usable runner.
     """
     row = _RUNNERS.decode(value, runner_id)
     if not _is_runner_id(runner_id):
-        raise _RUNNERS.refuse_at("$", "its key can't stand in a header", runner_id)
+        raise _RUNNERS.refuse_at("$", "its key is not valid in a header", runner_id)
     return RunnerEntry(
         runner_id=runner_id,
         service=row.service,
@@ -160,15 +160,16 @@
 
 
 def rack_of(labels: t.Sequence[str]) -> str:
-    """Return the rack's label: a machine's kind comes first, then its rack."""
+    """Return the rack from a machine's labels: its kind comes first, then its rack."""
     return labels[1] if len(labels) > 1 else ""
 
 
 def decode_wave(key: str, value: bytes) -> Wave:
-    """Decode an operator's wave of upkeep.
+    """Decode an operator's upkeep wave.
 
-    :param key: of its row, which ends in the wave's number.
-    :raises UnreadableError: it names no machines, or another wave than its key.
+    :param key: the key of its row, which ends in the wave's number.
+    :raises UnreadableError: the row lists no machines, or its number differs from that
+        of its key.
     """
     row = _WAVES.decode(value, key)
     if key != f"{WAVE_PREFIX}{row.wave}":
@@ -177,6 +178,6 @@
 
 
 def encode_wave_status(completed: bool) -> bytes:
-    """Encode what the operator reads of a wave."""
+    """Encode the state of a wave for the operator."""
     state = "completed" if completed else "running"
     return json.dumps({"state": state}).encode()
--- a/src/streamthread/platform/node.py
+++ b/src/streamthread/platform/node.py
@@ -1,4 +1,4 @@
-"""Decodes the settings that the platform lays down for one daemon."""
+"""Decodes the settings that the platform provides for one daemon."""
 
 import json
 import typing as t
@@ -24,16 +24,17 @@
 
 @attrs.frozen
 class Bounds:
-    """Times that the platform promises or demands, in seconds.
-
-    :param grace_s: from the signal to stop until the process is killed.
-    :param most_hold_s: the longest time that a runner lets itself be held.
-    :param stop_s: a stop of a task takes at most this.
-    :param notice_s: a lasting task not at work for longer counts as away.
-    :param move_s: a machine's move takes this.
-    :param upkeep_s: a machine's upkeep takes this.
-    :param harm_s: a lasting task over its target for longer counts as harmed.
-    :param early_s: a job's time may begin so much before it falls due.
+    """Times that the platform guarantees or requires, in seconds.
+
+    :param grace_s: time from the stop signal until the process is killed.
+    :param most_hold_s: longest lease that a runner grants its runs in one hold call.
+    :param stop_s: maximum time that stopping a task takes.
+    :param notice_s: a long-running task that does not work for longer counts as away.
+    :param move_s: duration of a machine's move.
+    :param upkeep_s: duration of a machine's upkeep.
+    :param harm_s: a long-running task that exceeds its target for longer counts as
+        harmed.
+    :param early_s: how long before its due time an occurrence may begin.
     """
 
     grace_s: float = 6.0
@@ -48,7 +49,7 @@
 
 @attrs.frozen
 class StoreLimits:
-    """Where the store is and what all daemons together may ask of it."""
+    """The store's address and the limits that all daemons share."""
 
     address: str
     writes_per_s: float = 800.0
@@ -57,25 +58,25 @@
 
 
 OPERATORS_PORT = 9464
-"""Where metrics are served; the deploy file names the same. Exporters of the
-common monitoring systems use this port, and the platform's ports are lower."""
+"""Port for metrics; the deploy file names the same one. The exporters of common
+monitoring systems use this port, and the platform's ports are lower."""
 
 DUTIES_PER_S = 64.0
-"""Where the settings do not say it: the lowest rate of the known deployments."""
+"""Default rate of duties: the lowest one of the known deployments."""
 
 
 @attrs.frozen
 class NodeSettings:
-    """What one daemon is told of its place.
-
-    :param callers: ``host:port`` at which callers are served.
-    :param readiness: ``host:port`` at which the platform asks for readiness.
-    :param duties_per_s: orders to machines that the cloud takes from all daemons
-        together, a second; on the wire ``dutyPerS``.
-    :param cores: how much processor this daemon has.
-    :param operators_port: for metrics and questions; 0 lets the system choose.
-    :param peer_ports: the first and the last port for what daemons say to each
-        other.
+    """The settings that the platform provides for one daemon.
+
+    :param callers: ``host:port`` that serves callers.
+    :param readiness: ``host:port`` that answers the platform's readiness checks.
+    :param duties_per_s: number of machine orders per second that the cloud service
+        accepts from all daemons together; on the wire ``dutyPerS``.
+    :param cores: CPU capacity of this daemon, in cores.
+    :param operators_port: port for metrics and operators' queries; 0 lets the operating
+        system choose.
+    :param peer_ports: first and last port for the traffic between daemons.
     """
 
     daemon_id: str
@@ -94,28 +95,30 @@
 
 
 class BadNodeSettings(ExceptionGroup[SettingsError]):
-    """All that is wrong with a daemon's settings, at once."""
+    """All errors in a daemon's settings, raised together."""
 
 
 def decode_node(text: str) -> NodeSettings:
     """Decode the settings.
 
-    :raises BadNodeSettings: they have mistakes; all of them.
+    :raises BadNodeSettings: the settings are invalid; it contains every error.
     """
     try:
         value = json.loads(text)
     except ValueError as error:
         mistake = SettingsError(
-            f"is not JSON: {error}", remedy="mend it at this place", location="$"
+            f"is not JSON: {error}",
+            remedy="correct the file at this position",
+            location="$",
         )
-        raise BadNodeSettings("the settings have mistakes", [mistake]) from error
-    mistakes = list(_mistakes(value))
-    if mistakes:
-        raise BadNodeSettings("the settings have mistakes", mistakes)
+        raise BadNodeSettings("the settings are invalid", [mistake]) from error
+    errors = list(_find_errors(value))
+    if errors:
+        raise BadNodeSettings("the settings are invalid", errors)
     return _decode(value)
 
 
-_NEEDED: tuple[tuple[str, type], ...] = (
+_REQUIRED: tuple[tuple[str, type], ...] = (
     ("node", str),
     ("ip", str),
     ("bindAddresses.front", str),
@@ -124,7 +127,7 @@
     ("platform.address", str),
 )
 
-_NUMBERS = (
+_NUMERIC = (
     "platform.writes_per_s",
     "platform.reads_per_s",
     "platform.row_bytes",
@@ -132,23 +135,25 @@
 )
 
 
-def _mistakes(value: t.Any) -> t.Iterator[SettingsError]:
-    """Yield one error a field that is missing or of the wrong kind."""
-    for path, kind in _NEEDED:
+def _find_errors(value: t.Any) -> t.Iterator[SettingsError]:
+    """Yield one error per field that is missing or has the wrong type."""
+    for path, kind in _REQUIRED:
         found = _find(value, path)
         if found is None:
-            yield _mistake(path, "is missing", f"give a {kind.__name__}")
+            yield _error(path, "is missing", f"give a {kind.__name__}")
         elif not isinstance(found, kind):
-            yield _mistake(path, "is of the wrong kind", f"give a {kind.__name__}")
+            yield _error(path, "has the wrong type", f"give a {kind.__name__}")
     ports = _find(value, "portRange")
     if isinstance(ports, list) and not _is_port_range(ports):
-        yield _mistake("portRange", "is no range", "give the first and the last port")
+        yield _error(
+            "portRange", "is not a port range", "give the first and the last port"
+        )
     bounds = _find(value, "bounds")
     numbers = [f"bounds.{name}" for name in bounds] if isinstance(bounds, dict) else []
-    for path in (*_NUMBERS, *numbers):
+    for path in (*_NUMERIC, *numbers):
         found = _find(value, path)
         if found is not None and not isinstance(found, int | float):
-            yield _mistake(path, "is not a number", "give a number")
+            yield _error(path, "is not a number", "give a number")
 
 
 def _is_port_range(ports: list[t.Any]) -> bool:
@@ -163,7 +168,7 @@
     return value
 
 
-def _mistake(path: str, message: str, remedy: str) -> SettingsError:
+def _error(path: str, message: str, remedy: str) -> SettingsError:
     return SettingsError(message, remedy=remedy, location=f"$.{path}")
 
 
@@ -189,7 +194,7 @@
 
 
 def _cores(limits: JsonObject) -> float:
-    """Return how much processor a daemon has: a share of faster cores."""
+    """Return a daemon's CPU cores: its share of the cores of a faster machine."""
     share = float(limits.get("cpuShare", 1.0))
     return share * float(limits.get("cores", 1)) or 1.0
 
@@ -204,8 +209,8 @@
 
 
 def _decode_bounds(value: JsonObject) -> Bounds:
-    """Decode the bounds; those that a deployment does not name keep a default."""
-    known = Bounds()
+    """Decode the bounds; those that the settings leave out have defaults."""
+    defaults = Bounds()
 
     def seconds(name: str, default_s: float) -> float:
         return float(value.get(name, default_s))
@@ -214,12 +219,12 @@
         return float(value.get(name, default_s * 1000)) / 1000
 
     return Bounds(
-        grace_s=seconds("graceS", known.grace_s),
-        most_hold_s=milliseconds("maxHoldMs", known.most_hold_s),
-        stop_s=milliseconds("stop_ms", known.stop_s),
-        notice_s=milliseconds("notice_ms", known.notice_s),
-        move_s=seconds("move_s", known.move_s),
-        upkeep_s=seconds("upkeep_s", known.upkeep_s),
-        harm_s=milliseconds("harm_ms", known.harm_s),
-        early_s=milliseconds("early_ms", known.early_s),
+        grace_s=seconds("graceS", defaults.grace_s),
+        most_hold_s=milliseconds("maxHoldMs", defaults.most_hold_s),
+        stop_s=milliseconds("stop_ms", defaults.stop_s),
+        notice_s=milliseconds("notice_ms", defaults.notice_s),
+        move_s=seconds("move_s", defaults.move_s),
+        upkeep_s=seconds("upkeep_s", defaults.upkeep_s),
+        harm_s=milliseconds("harm_ms", defaults.harm_s),
+        early_s=milliseconds("early_ms", defaults.early_s),
     )
--- a/src/streamthread/platform/runners.py
+++ b/src/streamthread/platform/runners.py
@@ -1,4 +1,7 @@
-"""Calls to runners: start, stop, hold and pace."""
+"""Client for runners: start, stop, hold and pace.
+
+A hold call renews the leases of a runner's runs and returns what has ended.
+"""
 
 import enum
 import typing as t
@@ -30,19 +33,19 @@
 ]
 
 CONNECTIONS_PER_RUNNER = 8
-"""One waits in a hold; the others carry starts and stops side by side."""
+"""One connection waits in a hold call; the others carry parallel starts and stops."""
 
-OTHER_LIFE_STATUS = 421
-"""A runner's answer to a call that is meant for another life."""
+OTHER_INCARNATION_STATUS = 421
+"""A runner's answer to a call that is addressed to another incarnation."""
 
 REFUSED_STATUS = 409
-"""A runner's answer to an order that it did not carry out, with the reason."""
+"""A runner's answer to an order that it refused; the body has the reason."""
 
 EXPECT_HEADER = "Streamthread-Expect-Instance"
 
 
 class EndKind(enum.Enum):
-    """How a run ended, as its runner says."""
+    """How a run ended, as reported by its runner."""
 
     DONE = "done"
     FAILED = "failed"
@@ -53,7 +56,7 @@
 
 
 class Refusal(enum.Enum):
-    """Why a runner did not carry out an order; it did nothing."""
+    """Why a runner refused an order; a refused order has no effect."""
 
     FENCED = "fence"
     OLD_RUN = "old"
@@ -65,14 +68,14 @@
 
 
 class IncarnationEndedError(Exception):
-    """Another life answers at this runner's address: the asked one has ended."""
+    """Another incarnation answers at the runner's address: the called one has ended."""
 
 
 @attrs.frozen
 class StartOrder:
-    """Starts one run of one task.
+    """An order to start one run of a task.
 
-    :param deadline_ms: on the runner's clock; after it the order is refused.
+    :param deadline_ms: on the runner's clock; the runner refuses the order after it.
     """
 
     task: str
@@ -86,11 +89,11 @@
 
 @attrs.frozen
 class RunningTask:
-    """A run that is on its runner.
+    """A run that is active on its runner.
 
-    :param percent: of its work; of a lasting task, 100 once it is at work.
-    :param usage: a rough figure of the last half second: a lasting task's tail
-        latency in ms, or the thousandths of a core that another one used.
+    :param percent: progress of the work; 100 for a long-running task that is at work.
+    :param usage: a rough value for the last half second: the tail latency in ms of a
+        long-running task, or the thousandths of a core that another task used.
     """
 
     task: str
@@ -102,7 +105,7 @@
 
 @attrs.frozen
 class EndedRun:
-    """A run that ended; ``number`` counts the ends of one life of the runner."""
+    """A run that ended; ``number`` counts the ended runs of a runner's incarnation."""
 
     number: int
     task: str
@@ -113,10 +116,11 @@
 
 @attrs.frozen
 class HoldReply:
-    """What runs on a runner, and the ends that were not confirmed yet.
+    """The runs on a runner, and its ended runs that are not confirmed yet.
 
-    :param born_ms: when this life of the runner began, in ms since 1970; None: not
-        told. Its clock and the numbers of its ends begin anew with each life.
+    :param born_ms: when the runner's incarnation started, in ms since 1970, or None if
+        the answer does not say. The runner's clock and the numbers of its ended runs
+        start again with each incarnation.
     """
 
     clock_ms: int
@@ -128,14 +132,14 @@
 
 @attrs.frozen
 class OrderReply:
-    """A runner's answer to an order; ``refusal`` is None where it did it."""
+    """A runner's answer to an order; ``refusal`` is None if it was carried out."""
 
     refusal: Refusal | None = None
     clock_ms: int | None = None
 
 
-# Answers as they stand on the wire. A list of which one row can't be read is not read
-# at all: a run that is missing from it would be taken as ended, and started again.
+# Answers in their wire format. A list with a row that cannot be decoded is rejected as
+# a whole: a run that is missing from it would count as ended, and be started again.
 
 
 class _RunningRow(msgspec.Struct, array_like=True):
@@ -176,7 +180,7 @@
 
 
 class RunnerClient:
-    """Calls runners; one for the process, it shares the connections."""
+    """Client for all runners. A process has one, so that the connections are shared."""
 
     def __init__(self, notes: UnreadableNotes | None = None) -> None:
         self._caller = HttpCaller(CONNECTIONS_PER_RUNNER, notes)
@@ -189,7 +193,7 @@
     async def start(
         self, address: str, runner_id: str, order: StartOrder, timeout_s: float
     ) -> OrderReply:
-        """Start a run; the same run again is the same run."""
+        """Start a run. The order is idempotent: repeating it starts no second run."""
         body: JsonObject = {
             "task": order.task,
             "run": order.run,
@@ -212,7 +216,7 @@
         fencing_token: int,
         timeout_s: float,
     ) -> OrderReply:
-        """Stop a run, or refuse it in advance where it is not there yet."""
+        """Stop a run. If the runner does not have it yet, it will refuse its start."""
         body = {"task": task, "run": run, "fencingToken": fencing_token}
         return await self._order("stop", address, runner_id, body, timeout_s)
 
@@ -226,7 +230,7 @@
         fencing_token: int,
         timeout_s: float,
     ) -> OrderReply:
-        """Let a run work at a share of its speed."""
+        """Slow a run down to a percentage of its speed."""
         body = {
             "task": task,
             "run": run,
@@ -261,12 +265,12 @@
         wait_s: float,
         timeout_s: float,
     ) -> HoldReply | Refusal:
-        """Extend what runs there, confirm ends and read both lists.
+        """Renew the leases of a runner's runs, confirm ended runs, return both lists.
 
-        :param confirmed: the last end that is recorded for good; on the wire
-            ``observed``, though only a durable end may be named there.
-        :param deadline_ms: until when, on the runner's clock; None extends nothing.
-        :param wait_s: how long the runner may wait for an end before it answers.
+        :param confirmed: the number of the last ended run that is persisted; on the
+            wire ``observed``, although only a persisted one may be named there.
+        :param deadline_ms: end of the leases, on the runner's clock; None renews none.
+        :param wait_s: how long the runner may wait for an ended run before it answers.
         """
         body: JsonObject = {"fencingToken": fencing_token, "observed": confirmed}
         if deadline_ms is not None:
@@ -281,8 +285,8 @@
     def _refusal(self, answer: Answer) -> Refusal:
         """Return why an order was refused.
 
-        :raises OutcomeUnknownError: it may have been carried out, or was refused for a
-            reason not known here.
+        :raises OutcomeUnknownError: the order may have been carried out, or it was
+            refused for an unknown reason.
         """
         if answer.status in (429, 503):
             return Refusal.UNHEALTHY
@@ -291,7 +295,8 @@
         if answer.status < 500:
             return Refusal.MALFORMED
         raise OutcomeUnknownError(
-            f"a runner answered {answer.status}", remedy="the order is sent again"
+            f"a runner answered with status {answer.status}",
+            remedy="the order is resent automatically",
         )
 
     async def _call(
@@ -310,7 +315,7 @@
             timeout_s=timeout_s,
             headers={EXPECT_HEADER: runner_id},
         )
-        if answer.status == OTHER_LIFE_STATUS:
+        if answer.status == OTHER_INCARNATION_STATUS:
             raise IncarnationEndedError(runner_id)
         if answer.instance_id and answer.instance_id != runner_id:
             raise IncarnationEndedError(runner_id)
--- a/src/streamthread/platform/store.py
+++ b/src/streamthread/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's row store: conditional transactions, reads and a feed."""
+"""Client of the platform's row store: conditional transactions, reads and a feed."""
 
 import base64
 import binascii
@@ -14,7 +14,7 @@
 from ..errors import UnreadableError
 from ..unreadable import Source
 from ..unreadable import UnreadableNotes
-from .documents import WRITTEN_BY_OTHERS
+from .documents import EXTERNAL_TABLES
 from .http import Answer
 from .http import JsonObject
 from .http import refuse_status
@@ -35,29 +35,30 @@
 """The version of a row that does not exist."""
 
 CONNECTIONS = 8
-"""Each feed keeps one; the others carry commits and reads."""
+"""Each feed occupies one connection; the others carry commits and reads."""
 
 MAX_ID_BYTES = 100
-"""Of an id that becomes part of a row's key: keys take 200 bytes, and the store refuses
-a transaction with a longer one whole, which would end a holder's commits."""
+"""Maximum length of an id that becomes part of a row's key. A key is limited to 200
+bytes, and the store refuses any transaction with a longer one, so that a holder could
+not commit any more."""
 
 PAGE_ROWS = 100
-"""The most rows that one read asks for: 300 KB of jobs take half a second over the
-smallest links, of 5 Mbit/s."""
+"""Maximum number of rows per read: 300 KB of jobs take half a second over the slowest
+links, of 5 Mbit/s."""
 
 CONDITION_FAILED_STATUS = 412
-"""The answer to a transaction of which a condition does not hold."""
+"""The answer to a transaction with a condition that is not met."""
 
 HISTORY_GONE_STATUS = 410
-"""The feed's answer to a version from which it cannot go on."""
+"""The feed's answer to a version that is too old to continue from."""
 
 FEED_SLACK_S = 0.8
-"""How long after its own waiting time the store's answer to a feed may take: a read
-takes 4 ms, and 0.25 s in a store 60 times slower. A connection that has fallen silent
-shows only by this."""
+"""How long a feed's answer may take in addition to the wait time of the call. A read
+takes 4 ms, and 0.25 s in a store that is 60 times slower. Only this timeout detects a
+dead connection."""
 
-MOST_TOLD_BYTES = 200
-"""Of an answer that tells of a mistake, in the error."""
+MAX_SHOWN_BYTES = 200
+"""Maximum length of an answer's text in an error message."""
 
 _TRANSACT = "/-/rows-tx"
 _GET = "/-/rows-get"
@@ -66,7 +67,7 @@
 
 @attrs.frozen
 class Condition:
-    """Requires that a row has this version; :data:`ABSENT`: that there is none."""
+    """Requires that a row has this version; :data:`ABSENT`: that it does not exist."""
 
     table: str
     part: str
@@ -76,7 +77,7 @@
 
 @attrs.frozen
 class StoredRow:
-    """One row. A row that was dropped has no value; only the feed shows it."""
+    """One row. A deleted row has no value; only the feed returns such rows."""
 
     table: str
     part: str
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class Page:
-    """Rows as of one moment; ``version`` is the newest in the whole store."""
+    """The rows as of one point in time; ``version`` is the newest in the whole store."""
 
     rows: tuple[StoredRow, ...]
     version: int
@@ -96,9 +97,9 @@
 
 @attrs.frozen
 class TransactResult:
-    """Whether the transaction took effect.
+    """Whether the transaction was committed.
 
-    :param version: that the written rows now have, where it did.
+    :param version: if it was, the new version of the written rows.
     """
 
     committed: bool
@@ -106,7 +107,7 @@
 
 
 class HistoryGoneError(Exception):
-    """The feed cannot go on from this version: read the table whole."""
+    """The feed cannot continue from this version; the table has to be read in full."""
 
 
 class _RowAnswer(msgspec.Struct):
@@ -141,10 +142,10 @@
 
 
 class RowStore(ServiceClient):
-    """The store's client.
+    """Client of the row store.
 
     :param address: ``host:port``.
-    :param timeout_s: the answer to a transaction or a read begins within this time.
+    :param timeout_s: maximum time until the answer to a transaction or a read begins.
     """
 
     def __init__(
@@ -160,10 +161,12 @@
         puts: t.Sequence[StoredRow],
         drops: t.Sequence[StoredRow] = (),
     ) -> TransactResult:
-        """Write rows of one part together if all conditions hold.
+        """Write rows of one part atomically if all conditions are met.
 
-        :raises StoreUnavailableError: nothing was done.
-        :raises OutcomeUnknownError: it may have been done, or be done later.
+        :param drops: the rows to delete.
+        :raises StoreUnavailableError: nothing was written.
+        :raises OutcomeUnknownError: the transaction may have been committed, or may
+            still be committed later.
         """
         body: JsonObject = {
             "expectedRev": [
@@ -171,7 +174,7 @@
                 for c in conditions
             ],
             "put": [_encode_row(row) for row in puts],
-            "remove": [_name_row(row) for row in drops],
+            "remove": [_encode_row_key(row) for row in drops],
         }
         answer = await self._call("POST", _TRANSACT, "transact", body=body)
         if answer.status == CONDITION_FAILED_STATUS:
@@ -183,7 +186,7 @@
     async def read(
         self, table: str, part: str, start: str = "", limit: int = PAGE_ROWS
     ) -> Page:
-        """Return one page of a table's part, by key order."""
+        """Return one page of a table's part, in key order."""
         params = {"table": table, "part": part, "limit": str(limit)}
         if start:
             params["from"] = start
@@ -192,7 +195,7 @@
         return self._page(table, answer)
 
     async def read_all(self, table: str, part: str) -> Page:
-        """Return all rows of a table's part; the version is the first page's."""
+        """Return all rows of a table's part, with the version of the first page."""
         page = await self.read(table, part)
         rows = list(page.rows)
         version = page.version
@@ -202,7 +205,7 @@
         return Page(tuple(rows), version)
 
     async def feed(self, table: str, after: int, wait_s: float) -> Page:
-        """Return what changed in a table after a version, waiting for a change.
+        """Return what has changed in a table after a version, or wait for a change.
 
         :raises HistoryGoneError: the store no longer has all changes since then.
         """
@@ -222,12 +225,13 @@
     def _page(self, table: str, answer: Answer) -> Page:
         """Return the rows of an answer.
 
-        Of a table that others write, rows that can't be read are left out: the others
-        hold. Our own tables are read whole or not at all.
+        In a table that other systems write, rows that cannot be decoded are left out,
+        and the remaining ones are valid. In this system's own tables, one such row
+        makes the whole answer invalid.
 
-        :raises OutcomeUnknownError: they can't be read.
+        :raises OutcomeUnknownError: the answer cannot be decoded.
         """
-        if table not in WRITTEN_BY_OTHERS:
+        if table not in EXTERNAL_TABLES:
             return _page(self._caller.read(answer, _PAGES))
         try:
             return _page(_PAGES.decode(answer.text, answer.url))
@@ -269,19 +273,19 @@
 def _require_ok(answer: Answer, path: str) -> None:
     if answer.status != 200:
         raise BadInputError(
-            f"the store answered {answer.status}: {answer.text[:MOST_TOLD_BYTES]!r}",
+            f"the store answered {answer.status}: {answer.text[:MAX_SHOWN_BYTES]!r}",
             remedy="check the row's size and the table's name",
             location=path,
         )
 
 
-def _name_row(row: StoredRow) -> JsonObject:
+def _encode_row_key(row: StoredRow) -> JsonObject:
     return {"table": row.table, "part": row.part, "key": row.key}
 
 
 def _encode_row(row: StoredRow) -> JsonObject:
     value = base64.b64encode(row.value or b"").decode()
-    return _name_row(row) | {"value": value}
+    return _encode_row_key(row) | {"value": value}
 
 
 def _page(answer: _PageAnswer) -> Page:
@@ -295,9 +299,9 @@
 
 
 def _value(text: str) -> bytes:
-    """Return a row's bytes; none where they can't be read, which no decoder takes.
+    """Return a row's bytes, or none if they are not valid base64.
 
-    The other rows of its page hold.
+    Every decoder rejects an empty value, so that only this row of the page is lost.
     """
     try:
         return binascii.a2b_base64(text)
--- a/src/streamthread/platform/table_feed.py
+++ b/src/streamthread/platform/table_feed.py
@@ -1,4 +1,4 @@
-"""Follows one table of the store: read whole once, then what changes in it."""
+"""Follows one table of the store: reads it in full once, then reads its changes."""
 
 import math
 
@@ -15,14 +15,14 @@
 __all__ = ["TableFeed", "Update"]
 
 UNREAD = -1
-"""Stands for the version of a table that is to be read whole."""
+"""The version of a table that has to be read in full."""
 
 
 @attrs.frozen
 class Update:
     """Rows that were read together.
 
-    :param whole: these are all rows of the table's part, not only the changed.
+    :param whole: these are all rows of the table's part, not only the changed ones.
     """
 
     rows: tuple[StoredRow, ...]
@@ -30,11 +30,11 @@
 
 
 class TableFeed:
-    """Remembers up to which version a table is known.
+    """Tracks the version up to which a table has been read.
 
-    :param part: the part that is read whole; the feed brings all parts' changes.
+    :param part: the part that is read in full; the feed returns changes of all parts.
     :param wait_s: how long one call waits for a change.
-    :param known_at_s: on the boot clock: the rows are known as they were then.
+    :param known_at_s: a time on the boot clock; the rows are up to date as of then.
     """
 
     def __init__(self, store: RowStore, table: str, part: str, wait_s: float) -> None:
@@ -47,11 +47,11 @@
         self.known_at_s = -math.inf
 
     async def next(self) -> Update:
-        """Return the next rows; none where the store has lost the history.
+        """Return the next rows, or no rows if the store no longer has the history.
 
-        The call after that reads the table whole. After a call that failed, the next
-        one does not wait for a change: in an outage it ends soon, so that the store's
-        return is not missed.
+        In the latter case, the next call reads the table in full. A call that follows a
+        failed one does not wait for a change, so that it ends soon in an outage and
+        the end of the outage is noticed.
 
         :raises StoreUnavailableError: nothing was read; call again.
         :raises OutcomeUnknownError: nothing was read; call again.
@@ -73,7 +73,7 @@
         return Update(page.rows, whole=False)
 
     async def look(self) -> tuple[StoredRow, ...]:
-        """Return all rows as they are now, beside what the feed brings.
+        """Return all present rows, independently of the feed.
 
         :raises StoreUnavailableError: nothing was read.
         :raises OutcomeUnknownError: nothing was read.
--- a/src/streamthread/platform/tests/test_table_feed.py
+++ b/src/streamthread/platform/tests/test_table_feed.py
@@ -1,4 +1,4 @@
-"""A feed of the store, across its outages."""
+"""A feed of the store, during and after outages."""
 
 import typing as t
 
@@ -14,7 +14,7 @@
 
 
 class _Store:
-    """Answers feeds with what a test lists, and notes how long each may wait."""
+    """Answers feeds with the listed answers, and records the wait time of each call."""
 
     def __init__(self, *answers: Page | Exception) -> None:
         self._answers = list(answers)
@@ -48,7 +48,7 @@
 
 
 class TestLook:
-    async def test_leaves_to_the_feed_what_it_brings(self) -> None:
+    async def test_does_not_advance_the_feed(self) -> None:
         store = _Store(Page((), 2))
         feed = TableFeed(t.cast(t.Any, store), "table", "main", WAIT_S)
         await feed.look()
@@ -56,8 +56,8 @@
         assert not (await feed.next()).whole
 
 
-class TestWhenItIsKnown:
-    async def test_is_set_by_answers_alone(self) -> None:
+class TestKnownAt:
+    async def test_is_set_only_by_answers(self) -> None:
         down = StoreUnavailableError("down", remedy="")
         store = _Store(Page((), 2), down, t.cast(t.Any, HistoryGoneError()))
         feed = TableFeed(t.cast(t.Any, store), "table", "main", WAIT_S)
