--- a/src/streamthread/platform/store.py
+++ b/src/streamthread/platform/store.py
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class Page:
-    """The rows as of one point in time; ``version`` is the newest in the whole store."""
+    """The rows as of one moment; ``version`` is the newest one in the whole store."""
 
     rows: tuple[StoredRow, ...]
     version: int
