--- a/src/streamthread/standins/cell/cloud.py
+++ b/src/streamthread/standins/cell/cloud.py
@@ -59,7 +59,7 @@
     ) -> None:
         self.machines: dict[str, MachineStandin] = {}
         self.duties: list[Duty] = []
-        self.most_down = 0
+        self.max_down = 0
         self._make_runner = make_runner
         self._end_life = end_life
         self._move_s = move_s
@@ -121,7 +121,7 @@
         self.duties.append(Duty("upkeep", machine.machine_id, holder, token))
         machine.waves.add(wave)
         self._go(machine, "upkeep", self._upkeep_s)
-        self.most_down = max(self.most_down, self.down_for_upkeep())
+        self.max_down = max(self.max_down, self.down_for_upkeep())
         return web.json_response({})
 
     def _go(self, machine: MachineStandin, state: str, for_s: float) -> None:
--- a/src/streamthread/standins/cell/runner.py
+++ b/src/streamthread/standins/cell/runner.py
@@ -77,7 +77,7 @@
     :param fail_all: every run ends failed at once.
     :param refuse_stops: so many stops are refused, as an unwell runner does.
     :param ignore_stops: so many stops are answered and have no effect.
-    :param unguarded: what finds no room is started all the same.
+    :param overcommit: what finds no room is started all the same.
     :param hide_stopping: a run that is being stopped is in neither list until its end.
     :param stop_s: how long a run takes to stop.
     :param refuse_orders: status with which starts and stops are answered, or 0; they
@@ -91,7 +91,7 @@
     fail_all: bool = False
     refuse_stops: int = 0
     ignore_stops: int = 0
-    unguarded: bool = False
+    overcommit: bool = False
     hide_stopping: bool = False
     stop_s: float = STOP_S
     refuse_orders: int = 0
@@ -101,7 +101,7 @@
     """One life of a runner.
 
     :param clock_zero_s: when its clock stood at 0, on the monotonic clock.
-    :param says_born: it tells when it began, as ``born``.
+    :param reports_birth: it tells when it began, as ``born``.
     :param started: shared by all runners: what was started.
     :param ended: shared by all runners: task, run, how and when.
     :param failures: shared by all runners: how often each task has failed.
@@ -109,7 +109,7 @@
         after what ran here had lapsed since, and those that were not confirmed before
         this life was over.
     :param late_orders: so many orders without an answer are still to be carried out.
-    :param over_room: tasks that were started though there was no room for them, and
+    :param over_capacity: tasks that were started though there was no room for them, and
         when.
     :param resized_at_s: when its room changed last.
     :param crashed: called when a task has taken the runner down.
@@ -127,11 +127,11 @@
         failures: dict[str, int],
         crashed: Crashed = lambda runner, run: None,
         clock_zero_s: float = 0.0,
-        says_born: bool = True,
+        reports_birth: bool = True,
     ) -> None:
         self._crashed = crashed
         self._clock_zero_s = clock_zero_s
-        self.says_born = says_born
+        self.reports_birth = reports_birth
         self.born_ms = int(time.time() * 1000)
         self.runner_id = runner_id
         self.service = service
@@ -139,7 +139,7 @@
         self.cpu = cpu
         self.memory_mb = memory_mb
         self.faults = RunnerFaults()
-        self.over_room: list[tuple[str, float]] = []
+        self.over_capacity: list[tuple[str, float]] = []
         self.resized_at_s = 0.0
         self.alive = True
         self.draining = False
@@ -174,7 +174,7 @@
         )
 
     def _birth(self) -> Json:
-        return {"born": self.born_ms} if self.says_born else {}
+        return {"born": self.born_ms} if self.reports_birth else {}
 
     def resize(self, cpu: int) -> None:
         """Let the room shrink or grow; what runs goes on."""
@@ -318,9 +318,9 @@
         spec = json.loads(body["spec"] or "{}")
         used = sum(int(run.spec.get("cpu", 0)) for run in self._runs.values())
         if used + int(spec.get("cpu", 0)) > self.cpu:
-            if not self.faults.unguarded:
+            if not self.faults.overcommit:
                 return "room"
-            self.over_room.append((task, time.monotonic()))
+            self.over_capacity.append((task, time.monotonic()))
         self._extend(body)
         now_s = time.monotonic()
         run_s = float(spec.get("run_s", 0.1))
--- a/src/streamthread/standins/cell/world.py
+++ b/src/streamthread/standins/cell/world.py
@@ -26,8 +26,8 @@
     :param pools: names of the pools and how many machines each has.
     :param cpu: the room of each runner, in full.
     :param keeps_ids: runners that a task has crashed start again under their ids.
-    :param says_born: runners tell when their lives began; those that do not get a new
-        id with each life.
+    :param reports_birth: runners tell when their lives began; those that do not get a
+        new id with each life.
     :param accounts: the client accounts that manifests name from now on, as they stand
         on the wire; None: there are none, and no route needs a key.
     :param crashes: ids of the runners that a task has taken down.
@@ -39,7 +39,7 @@
         pools: t.Mapping[str, int],
         cpu: int = 16000,
         keeps_ids: bool = False,
-        says_born: bool = True,
+        reports_birth: bool = True,
     ) -> None:
         self.store = StoreStandin()
         self.cloud = CloudStandin(self._make_runner, self._end_life)
@@ -52,7 +52,7 @@
         self._pools = dict(pools)
         self.cpu = cpu
         self.keeps_ids = keeps_ids
-        self.says_born = says_born
+        self.reports_birth = reports_birth
         self.accounts: list[dict[str, t.Any]] | None = None
         self._numbers = itertools.count(1)
 
@@ -84,7 +84,7 @@
         self.crashed_runs.add(run)
         for machine in self.cloud.machines.values():
             if machine.runner is runner:
-                keep_id = self.keeps_ids and runner.says_born
+                keep_id = self.keeps_ids and runner.reports_birth
                 self.cloud.crash(machine, BACK_S, keep_id)
 
     async def _make_runner(
@@ -102,7 +102,7 @@
             self._failures,
             self._on_crash,
             clock_zero_s=time.monotonic() if runner_id else 0.0,
-            says_born=self.says_born or bool(runner_id),
+            reports_birth=self.reports_birth or bool(runner_id),
         )
         await runner.port.open(port)
         self.runners.append(runner)
--- a/tests/cell/test_duties.py
+++ b/tests/cell/test_duties.py
@@ -47,7 +47,7 @@
             await world.write_wave(1, machine_ids, most_at_once=2)
             await until(lambda: world.wave_state(1) == "completed", "the wave ends")
             assert all(1 in m.waves for m in world.cloud.machines.values())
-            assert world.cloud.most_down <= 2
+            assert world.cloud.max_down <= 2
 
     async def test_is_not_said_to_be_completed_while_a_machine_is_left(self) -> None:
         async with running_cell({"desk": 2}) as cell:
--- a/tests/cell/test_room.py
+++ b/tests/cell/test_room.py
@@ -21,11 +21,11 @@
 
 def _unguard(cell: Cell) -> None:
     for runner in cell.world.runners:
-        runner.faults.unguarded = True
+        runner.faults.overcommit = True
 
 
 def _over_room(cell: Cell) -> list[str]:
-    return [task for runner in cell.world.runners for task, _ in runner.over_room]
+    return [task for runner in cell.world.runners for task, _ in runner.over_capacity]
 
 
 def _lasting(cpu: int, count: int) -> bytes:
--- a/tools/cell_demo.py
+++ b/tools/cell_demo.py
@@ -85,8 +85,8 @@
         machine_ids = sorted(self.world.cloud.machines)
         await self.world.write_wave(1, machine_ids, most_at_once=2)
         await self._until(self._wave_done, "the wave is completed")
-        most_down = self.world.cloud.most_down
-        assert most_down <= 2, f"{most_down} machines were down at once"
+        max_down = self.world.cloud.max_down
+        assert max_down <= 2, f"{max_down} machines were down at once"
         _say(f"{len(machine_ids)} machines had their upkeep, at most 2 at once")
 
     async def _until(
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -397,8 +397,8 @@
         for daemon in [*self.daemons, *self.removed]:
             if daemon.unasked_ends:
                 self.broken.append(f"FAULT {daemon.name} ended by itself")
-        if self.world.cloud.most_down > 2 * self._faults.waves():
-            self.broken.append(f"LIMIT {self.world.cloud.most_down} in upkeep")
+        if self.world.cloud.max_down > 2 * self._faults.waves():
+            self.broken.append(f"LIMIT {self.world.cloud.max_down} in upkeep")
 
 
 async def run_soak(
--- a/tools/soak_checks.py
+++ b/tools/soak_checks.py
@@ -143,7 +143,7 @@
 def check_rooms(world: CellWorld) -> t.Iterator[str]:
     """Yield a line for each start over the room of a runner that does not guard it."""
     for runner in world.runners:
-        for task, at_s in runner.over_room:
+        for task, at_s in runner.over_capacity:
             if at_s > runner.resized_at_s + CONTACT_S + BEAT_S:
                 yield f"LIMIT {task} was started over the room of {runner.runner_id}"
 
--- a/tools/soak_restarts.py
+++ b/tools/soak_restarts.py
@@ -35,7 +35,7 @@
         while time.monotonic() < until_s:
             await asyncio.sleep(self._random.expovariate(FAULTS_PER_S))
             # Some runners never tell their birth; those get a new id with each life.
-            self._soak.world.says_born = self._random.random() < 0.8
+            self._soak.world.reports_birth = self._random.random() < 0.8
             kind = self._random.choice(kinds)
             self._soak.spawn(kind(self._random.choice([0.01, 0.2, 1.0, 3.0])))
 
@@ -58,7 +58,7 @@
             return
         self._soak.note(f"restart {runner.runner_id}")
         runner.kill()
-        keep_id = runner.says_born
+        keep_id = runner.reports_birth
         self._soak.world.cloud.crash(machine, for_s, keep_id)
 
     async def _restart_in_series(self, for_s: float) -> None:
--- a/tools/soak_runners.py
+++ b/tools/soak_runners.py
@@ -43,7 +43,7 @@
     async def play(self, until_s: float) -> None:
         """Begin faults until a time."""
         for runner in self._soak.world.runners:
-            runner.faults.unguarded = self._random.random() < 0.5
+            runner.faults.overcommit = self._random.random() < 0.5
         kinds = [self._crashing_job, self._shrink, self._shrink, self._suspend]
         while time.monotonic() < until_s:
             await asyncio.sleep(self._random.expovariate(FAULTS_PER_S))
