--- a/src/streamthread/standins/__init__.py
+++ b/src/streamthread/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what lies outside, and the fault-injecting proxy."""
+"""Small stand-ins for external systems, and a fault-injecting proxy."""
 
 from .faults import Faults
 from .platform import PlatformStandin
--- a/src/streamthread/standins/cell/__init__.py
+++ b/src/streamthread/standins/cell/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the users' platform: store, runners and cloud, with faults."""
+"""Small stand-ins for the platform of a cell: store, runners and cloud, with faults."""
 
 from .cloud import CloudStandin
 from .cloud import MachineStandin
--- a/src/streamthread/standins/cell/cloud.py
+++ b/src/streamthread/standins/cell/cloud.py
@@ -1,4 +1,4 @@
-"""The owner of the machines: lists them, moves them, takes them into upkeep."""
+"""A stand-in for the cloud service: it lists and moves machines and runs upkeep."""
 
 import asyncio
 import typing as t
@@ -13,9 +13,9 @@
 
 
 class MakeRunner(t.Protocol):
-    """Starts a new life of a machine's runner in a pool.
+    """Starts a new incarnation of a machine's runner in a pool.
 
-    Without a port, and without the id that it had, it gets new ones.
+    If no port or no earlier runner id is given, the incarnation gets a new one.
     """
 
     def __call__(
@@ -25,7 +25,7 @@
 
 @attrs.define
 class MachineStandin:
-    """One machine and the runner that lives there."""
+    """A machine and the runner on it."""
 
     machine_id: str
     pool: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Duty:
-    """One order that the cloud carried out."""
+    """An order that the cloud carried out."""
 
     kind: str
     machine_id: str
@@ -45,15 +45,15 @@
 
 
 class CloudStandin:
-    """Machines and their duties.
+    """A cloud service with its machines.
 
-    :param end_life: takes a runner's entry away when its machine goes down.
+    :param end_incarnation: removes a runner's entry when its machine goes down.
     """
 
     def __init__(
         self,
         make_runner: MakeRunner,
-        end_life: t.Callable[[RunnerStandin], t.Awaitable[None]],
+        end_incarnation: t.Callable[[RunnerStandin], t.Awaitable[None]],
         move_s: float = 0.1,
         upkeep_s: float = 0.15,
     ) -> None:
@@ -61,7 +61,7 @@
         self.duties: list[Duty] = []
         self.max_down = 0
         self._make_runner = make_runner
-        self._end_life = end_life
+        self._end_incarnation = end_incarnation
         self._move_s = move_s
         self._upkeep_s = upkeep_s
         self._tasks: set[asyncio.Task[None]] = set()
@@ -108,7 +108,7 @@
             return web.json_response({"reason": "busy"}, status=409)
         self.duties.append(Duty("move", machine.machine_id, holder, token))
         machine.pool = pool
-        self._go(machine, "moving", self._move_s)
+        self._take_down(machine, "moving", self._move_s)
         return web.json_response({})
 
     def _upkeep(
@@ -120,13 +120,13 @@
             return web.json_response({"reason": "busy"}, status=409)
         self.duties.append(Duty("upkeep", machine.machine_id, holder, token))
         machine.waves.add(wave)
-        self._go(machine, "upkeep", self._upkeep_s)
+        self._take_down(machine, "upkeep", self._upkeep_s)
         self.max_down = max(self.max_down, self.down_for_upkeep())
         return web.json_response({})
 
-    def _go(self, machine: MachineStandin, state: str, for_s: float) -> None:
+    def _take_down(self, machine: MachineStandin, state: str, for_s: float) -> None:
         machine.state = state
-        self._spawn(self._come_back(machine, for_s))
+        self._spawn(self._replace_runner(machine, for_s))
 
     def _spawn(self, call: t.Coroutine[t.Any, t.Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(call)
@@ -134,16 +134,16 @@
         task.add_done_callback(self._tasks.discard)
 
     def restart(self, machine: MachineStandin, for_s: float) -> None:
-        """Let a machine's runner crash; a new life comes later."""
-        self._go(machine, "down", for_s)
+        """Crash a machine; a new incarnation of its runner starts after ``for_s``."""
+        self._take_down(machine, "down", for_s)
 
     def crash(
         self, machine: MachineStandin, for_s: float, keep_id: bool = False
     ) -> None:
-        """Let a machine's runner be gone; a new life comes later where it was.
+        """Crash a machine's runner; a new incarnation starts later at its address.
 
-        :param keep_id: the new life has the id of the former one, whose entry stands
-            until then.
+        :param keep_id: the new incarnation has the id of the former one, whose entry
+            remains until then.
         """
         machine.state = "down"
         self._spawn(self._crash(machine, for_s, keep_id))
@@ -158,17 +158,17 @@
         await runner.port.close()
         await asyncio.sleep(for_s)
         if not keep_id:
-            await self._end_life(runner)
+            await self._end_incarnation(runner)
         port = int(runner.port.address.rpartition(":")[2])
         machine.runner = await self._make_runner(
             machine.machine_id, machine.pool, port, runner.runner_id if keep_id else ""
         )
         machine.state = "up"
 
-    async def _come_back(self, machine: MachineStandin, for_s: float) -> None:
+    async def _replace_runner(self, machine: MachineStandin, for_s: float) -> None:
         if machine.runner is not None:
             machine.runner.kill()
-            await self._end_life(machine.runner)
+            await self._end_incarnation(machine.runner)
             machine.runner = None
         await asyncio.sleep(for_s)
         machine.runner = await self._make_runner(machine.machine_id, machine.pool)
--- a/src/streamthread/standins/cell/foreign.py
+++ b/src/streamthread/standins/cell/foreign.py
@@ -1,4 +1,4 @@
-"""Entries as another writer may leave them: none of them names a runner to use."""
+"""Runner entries that a faulty writer may store; none describes a usable runner."""
 
 import json
 import typing as t
@@ -21,17 +21,17 @@
     "machine": "m-0",
     "clockMs": 1,
 }
-"""A runner's entry with all fields that the pages name."""
+"""A valid runner entry with all documented fields."""
 
 _OTHER_VALUES: tuple[JsonValue, ...] = (None, 7, "text", True, [1], {"a": 1}, -1)
 
-_NEEDED = ("service", "address", "zone", "state", "capacity", "labels")
+_REQUIRED = ("service", "address", "zone", "state", "capacity", "labels")
 
-_NESTING = 5_000
-"""Deeper than any parser's own stack reaches."""
+_NESTING_DEPTH = 5_000
+"""Nesting depth that exceeds the stack of any parser."""
 
-_LONG = 64 * 1024
-"""As long as the store takes rows."""
+_MAX_ROW_BYTES = 64 * 1024
+"""Maximum size of a row in the store."""
 
 
 def _same_type(value: JsonValue, other: JsonValue) -> bool:
@@ -50,22 +50,22 @@
     yield b'"ready"'
     yield b"NaN"
     yield b"1e999"
-    yield b"[" * _NESTING + b"]" * _NESTING
+    yield b"[" * _NESTING_DEPTH + b"]" * _NESTING_DEPTH
     yield json.dumps(ENTRY | {"service": "a\udc80"}).encode()
     yield json.dumps(ENTRY).encode()[:-1]
-    yield json.dumps(ENTRY | {"padding": "x" * _LONG}).encode()
-    nested = b'{"more":' * _NESTING + b"1" + b"}" * _NESTING
+    yield json.dumps(ENTRY | {"padding": "x" * _MAX_ROW_BYTES}).encode()
+    nested = b'{"more":' * _NESTING_DEPTH + b"1" + b"}" * _NESTING_DEPTH
     yield json.dumps(ENTRY).encode()[:-1] + b',"more":' + nested + b"}"
 
 
 def _entries() -> t.Iterator[JsonValue]:
-    for name in _NEEDED:
+    for name in _REQUIRED:
         yield {field: value for field, value in ENTRY.items() if field != name}
     for name, value in ENTRY.items():
         if name == "clockMs":
             continue
         for other in _OTHER_VALUES:
-            # Only a machine may be left out, and only texts may stand for themselves.
+            # A machine may be null; every other field rejects values of another type.
             if other is None and name == "machine":
                 continue
             if not _same_type(value, other) or other == -1:
@@ -74,8 +74,13 @@
         yield ENTRY | {"state": state}
     for address in ("", "nowhere", "127.0.0.1", "127.0.0.1:0x50", "127.0.0.1:70000"):
         yield ENTRY | {"address": address}
-    for room in ({}, {"cpu": 1}, {"cpu": "1", "memMb": 1}, {"cpu": 1e400, "memMb": 1}):
-        yield ENTRY | {"capacity": room}
+    for capacity in (
+        {},
+        {"cpu": 1},
+        {"cpu": "1", "memMb": 1},
+        {"cpu": 1e400, "memMb": 1},
+    ):
+        yield ENTRY | {"capacity": capacity}
     yield ENTRY | {"labels": [["a"]]}
     yield ENTRY | {"service": ""}
     yield ENTRY | {"service": "nobody-names-this"}
@@ -85,4 +90,4 @@
     *_texts(),
     *(json.dumps(entry).encode() for entry in _entries()),
 )
-"""Values of rows among the runners' entries."""
+"""Row values that are not valid runner entries."""
--- a/src/streamthread/standins/cell/port.py
+++ b/src/streamthread/standins/cell/port.py
@@ -1,4 +1,4 @@
-"""One HTTP port on loopback, chosen by the system."""
+"""An HTTP port on loopback; the operating system chooses its number."""
 
 import asyncio
 import typing as t
@@ -8,10 +8,10 @@
 __all__ = ["PLAY_DEAD_S", "HttpPort"]
 
 CLOSE_S = 0.02
-"""Handlers that play dead are cut off at once."""
+"""Shutdown timeout, short so that handlers that never answer are cancelled at once."""
 
 PLAY_DEAD_S = 3600.0
-"""A call that gets no answer is held for longer than any caller waits."""
+"""A call without an answer stays open for this time, longer than any caller waits."""
 
 Handler = t.Callable[[web.BaseRequest], t.Awaitable[web.StreamResponse]]
 
@@ -37,16 +37,16 @@
         return await self._handler(request)
 
     def silence_connections(self) -> int:
-        """Let every connection that is open now bring nothing more.
+        """Stop answering on all open connections; new connections work.
 
-        :return: how many they are; new ones work.
+        :return: the number of silenced connections.
         """
         silent = {transport for transport in self._open if not transport.is_closing()}
         self._silent |= silent
         return len(silent)
 
     async def open(self, port: int = 0) -> None:
-        """Listen; a port that was used before may be named again."""
+        """Listen on a port, which may have been used before; 0: any port."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", port, reuse_address=True)
         await site.start()
@@ -54,7 +54,7 @@
         self.address = f"{host}:{number}"
 
     def reset_connections(self) -> None:
-        """Cut every connection that is open now, as the end of a process does."""
+        """Abort all open connections, as the end of a process does."""
         for transport in self._open:
             transport.abort()
         self._open.clear()
--- a/src/streamthread/standins/cell/runner.py
+++ b/src/streamthread/standins/cell/runner.py
@@ -1,8 +1,9 @@
-"""A runner that speaks the users' pages; tasks say in their spec how they end.
+"""A stand-in for a runner with the documented protocol.
 
-The spec is a JSON object: ``run_s`` how long a task works, ``fail`` how many
-runs of each task end failed first, ``crash`` the numbers of the tasks of a step that
-take their runner down, each time it starts one of them.
+The spec of a task is a JSON object that says how its runs end. ``run_s`` is the
+duration of a run, ``fail`` is how many runs of each task fail first, and ``crash``
+lists the numbers of the step's tasks that crash their runner each time it starts one
+of them.
 """
 
 import asyncio
@@ -23,20 +24,20 @@
 STOP_S = 0.05
 """How long a run takes to stop."""
 
-CRASH_S = 0.01
-"""So soon after its start, a task that crashes its runner has done so."""
+CRASH_DELAY_S = 0.01
+"""Time from the start of a task that crashes its runner until the crash."""
 
 POLL_S = 0.01
-"""How often a waiting hold looks for ends."""
+"""How often a waiting hold call checks for ended runs."""
 
-MOST_ENDS = 500
-"""So many ends at most are listed in one answer."""
+MAX_ENDS = 500
+"""Maximum number of ended runs in one answer."""
 
-MOST_HOLD_MS = 4000
-"""A longer hold is cut to this, as `maxHoldMs` of the daemons' settings says."""
+MAX_HOLD_MS = 4000
+"""A longer lease is shortened to this; equals `maxHoldMs` in the daemons' settings."""
 
-Crashed = t.Callable[["RunnerStandin", tuple[str, int]], None]
-"""Learns of a runner that a run has taken down."""
+CrashCallback = t.Callable[["RunnerStandin", tuple[str, int]], None]
+"""Callback for a runner that a run has crashed."""
 
 ORDER_PATHS = ("/-/run-start", "/-/run-stop")
 
@@ -52,10 +53,10 @@
 
 @attrs.frozen
 class StartedRun:
-    """One start that a runner carried out.
+    """A start order that a runner carried out.
 
-    :param late: the order got no answer and was carried out late.
-    :param born_ms: which life of the runner carried it out.
+    :param late: the order was not answered and was carried out late.
+    :param born_ms: start time of the incarnation that carried it out.
     """
 
     task: str
@@ -68,20 +69,20 @@
 
 @attrs.define
 class RunnerFaults:
-    """What goes wrong; a test changes the fields.
+    """The simulated faults; tests change the fields.
 
     :param silent: calls get no answer and have no effect.
-    :param late_starts: so many starts get no answer and are carried out late.
-    :param late_stops: so many stops get no answer and are carried out late.
-    :param late_s: by how much.
-    :param fail_all: every run ends failed at once.
-    :param refuse_stops: so many stops are refused, as an unwell runner does.
-    :param ignore_stops: so many stops are answered and have no effect.
-    :param overcommit: what finds no room is started all the same.
+    :param late_starts: number of starts that get no answer and are carried out late.
+    :param late_stops: number of stops that get no answer and are carried out late.
+    :param late_s: delay of these starts and stops.
+    :param fail_all: every run that would end as done ends as failed.
+    :param refuse_stops: number of stops that are refused, as by an unhealthy runner.
+    :param ignore_stops: number of stops that are answered but have no effect.
+    :param overcommit: runs are started even if the free capacity is insufficient.
     :param hide_stopping: a run that is being stopped is in neither list until its end.
     :param stop_s: how long a run takes to stop.
-    :param refuse_orders: status with which starts and stops are answered, or 0; they
-        have no effect.
+    :param refuse_orders: HTTP status that answers starts and stops, which then have no
+        effect; 0: none.
     """
 
     silent: bool = False
@@ -98,21 +99,22 @@
 
 
 class RunnerStandin:
-    """One life of a runner.
-
-    :param clock_zero_s: when its clock stood at 0, on the monotonic clock.
-    :param reports_birth: it tells when it began, as ``born``.
-    :param started: shared by all runners: what was started.
-    :param ended: shared by all runners: task, run, how and when.
-    :param failures: shared by all runners: how often each task has failed.
-    :param unknown_ends: the runs whose ends nobody had to rely on: those confirmed only
-        after what ran here had lapsed since, and those that were not confirmed before
-        this life was over.
-    :param late_orders: so many orders without an answer are still to be carried out.
-    :param over_capacity: tasks that were started though there was no room for them, and
-        when.
-    :param resized_at_s: when its room changed last.
-    :param crashed: called when a task has taken the runner down.
+    """One incarnation of a runner.
+
+    :param clock_zero_s: the monotonic time at which the runner's clock was at 0.
+    :param reports_birth: it reports its start time as ``born``.
+    :param started: the starts carried out by all runners, in a shared list.
+    :param ended: the task, run, kind and time of all runners' ended runs, in a shared
+        list.
+    :param failures: how often each task has failed, shared by all runners.
+    :param unknown_ends: runs whose ends a holder need not know. Either the leases on
+        this runner expired before the end was confirmed, or the incarnation ended
+        before.
+    :param late_orders: number of unanswered orders that are still to be carried out.
+    :param over_capacity: tasks that were started without sufficient free capacity, with
+        the time of each start.
+    :param resized_at_s: when its capacity changed last.
+    :param on_crash: called when a task has crashed the runner.
     """
 
     def __init__(
@@ -125,11 +127,11 @@
         started: list[StartedRun],
         ended: list[tuple[str, int, str, float]],
         failures: dict[str, int],
-        crashed: Crashed = lambda runner, run: None,
+        on_crash: CrashCallback = lambda runner, run: None,
         clock_zero_s: float = 0.0,
         reports_birth: bool = True,
     ) -> None:
-        self._crashed = crashed
+        self._on_crash = on_crash
         self._clock_zero_s = clock_zero_s
         self.reports_birth = reports_birth
         self.born_ms = int(time.time() * 1000)
@@ -151,7 +153,7 @@
         self._ended_at_s: dict[tuple[str, int], float] = {}
         self._end_count = 0
         self._deadline_ms = 0
-        self._lapsed_at_s = 0.0
+        self._expired_at_s = 0.0
         self.unknown_ends: set[tuple[str, int]] = set()
         self._failures = failures
         self._started = started
@@ -159,7 +161,7 @@
         self.port = HttpPort(self._serve)
 
     def entry(self) -> str:
-        """Return what the runner writes of itself into the store."""
+        """Return the entry that the runner writes into the store."""
         return json.dumps(
             {
                 "service": self.service,
@@ -169,29 +171,29 @@
                 "capacity": {"cpu": self.cpu, "memMb": self.memory_mb, "gpu": 0},
                 "labels": list(self.labels),
                 "clockMs": self._clock_ms(),
-                **self._birth(),
+                **self._birth_fields(),
             }
         )
 
-    def _birth(self) -> Json:
+    def _birth_fields(self) -> Json:
         return {"born": self.born_ms} if self.reports_birth else {}
 
     def resize(self, cpu: int) -> None:
-        """Let the room shrink or grow; what runs goes on."""
+        """Change the CPU capacity; active runs continue."""
         self.cpu = cpu
         self.resized_at_s = time.monotonic()
 
     def running(self) -> list[str]:
-        """Return the tasks that run now."""
+        """Return the running tasks."""
         return [task for task, _ in self.runs()]
 
     def runs(self) -> list[tuple[str, int]]:
-        """Return the tasks that run now, each with the number of its run."""
+        """Return the running tasks, each with the number of its run."""
         self._advance()
         return sorted(self._runs)
 
     def kill(self) -> None:
-        """End this life: all that runs dies and nothing answers any more."""
+        """End this incarnation: its runs die, and it refuses all calls from then on."""
         now_s = time.monotonic()
         self.alive = False
         for run in self._runs.values():
@@ -200,7 +202,7 @@
         self.unknown_ends |= {(task, run) for _, task, run, _, _ in self._ends}
 
     def hold_for(self, for_s: float) -> None:
-        """Keep what runs here for so long, as if its holder had asked for it."""
+        """Renew the leases for a duration, as a hold call would."""
         deadline_ms = self._clock_ms() + int(for_s * 1000)
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
 
@@ -208,24 +210,24 @@
         return int((time.monotonic() - self._clock_zero_s) * 1000)
 
     def _deadline_s(self) -> float:
-        """Return until when runs are held, on the monotonic clock."""
+        """Return the end of the leases on the monotonic clock."""
         return self._clock_zero_s + self._deadline_ms / 1000
 
-    # What happens with time.
+    # Progress over time.
 
     def _advance(self) -> None:
-        """Bring the runs to where they are now, each end at its own moment."""
+        """Update the runs to the present time; each ends at its own time."""
         now_s = time.monotonic()
-        lapse_s = self._deadline_s()
+        expiry_s = self._deadline_s()
         for run in list(self._runs.values()):
             stopping = run.stopping_at_s > 0
             end_s = run.stopping_at_s if stopping else run.ends_at_s
-            if lapse_s < min(end_s, now_s):
-                self._end(run, "lapsed", lapse_s)
+            if expiry_s < min(end_s, now_s):
+                self._end(run, "lapsed", expiry_s)
             elif end_s <= now_s:
-                self._end(run, "stopped" if stopping else self._how(run), end_s)
+                self._end(run, "stopped" if stopping else self._natural_end(run), end_s)
 
-    def _how(self, run: _Run) -> str:
+    def _natural_end(self, run: _Run) -> str:
         failed = self._failures.get(run.task, 0)
         if self.faults.fail_all or failed < int(run.spec.get("fail", 0)):
             self._failures[run.task] = failed + 1
@@ -240,7 +242,7 @@
         self._ended.append((run.task, run.run, how, at_s))
         self._ended_at_s[run.task, run.run] = at_s
 
-    # The served side.
+    # Request handlers.
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.json()
@@ -269,26 +271,26 @@
             {"clockMs": self._clock_ms(), "reason": reason}, status=409
         )
 
-    def _extend(self, body: Json) -> None:
+    def _renew_leases(self, body: Json) -> None:
         clock_ms = self._clock_ms()
         if self._deadline_ms < clock_ms:
-            self._lapsed_at_s = self._deadline_s()
-        deadline_ms = min(body.get("deadlineMs", 0), clock_ms + MOST_HOLD_MS)
+            self._expired_at_s = self._deadline_s()
+        deadline_ms = min(body.get("deadlineMs", 0), clock_ms + MAX_HOLD_MS)
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
 
     async def _start(self, body: Json) -> web.StreamResponse:
         if self.faults.late_starts > 0:
             self.faults.late_starts -= 1
-            await self._play_late(body, self._try_start_late)
+            await self._delay_order(body, self._try_start_late)
         reason = self._try_start(body)
         if reason:
             return self._refuse(reason)
         return web.json_response({"clockMs": self._clock_ms()})
 
-    async def _play_late(
+    async def _delay_order(
         self, body: Json, carry_out: t.Callable[[Json], t.Any]
     ) -> None:
-        """Give no answer, and carry the order out late."""
+        """Send no answer, and carry out the order late."""
         late = self._carry_out_late(body, carry_out)
         asyncio.get_running_loop().create_task(late)
         await asyncio.sleep(PLAY_DEAD_S)
@@ -307,7 +309,7 @@
         self._try_start(body, late=True)
 
     def _try_start(self, body: Json, late: bool = False) -> str:
-        """Start a run, or return why not."""
+        """Start a run, or return the reason of a refusal."""
         task, number = body["task"], body["run"]
         if (task, number) in self._runs:
             return ""
@@ -321,22 +323,24 @@
             if not self.faults.overcommit:
                 return "room"
             self.over_capacity.append((task, time.monotonic()))
-        self._extend(body)
+        self._renew_leases(body)
         now_s = time.monotonic()
         run_s = float(spec.get("run_s", 0.1))
         self._runs[task, number] = _Run(task, number, spec, now_s + run_s)
         started = StartedRun(task, number, self.runner_id, now_s, late, self.born_ms)
         self._started.append(started)
         if task.rpartition(".")[2] in spec.get("crash", ()):
-            asyncio.get_running_loop().call_later(CRASH_S, self._crash, (task, number))
+            asyncio.get_running_loop().call_later(
+                CRASH_DELAY_S, self._crash, (task, number)
+            )
         return ""
 
     def _crash(self, run: tuple[str, int]) -> None:
-        """End this life at once, connections and all; the platform is not told."""
+        """End this incarnation with its connections; the platform is not notified."""
         if not self.alive:
             return
         self.kill()
-        self._crashed(self, run)
+        self._on_crash(self, run)
 
     async def _stop(self, body: Json) -> web.StreamResponse:
         if self.faults.refuse_stops > 0:
@@ -344,7 +348,7 @@
             return web.Response(status=503)
         if self.faults.late_stops > 0:
             self.faults.late_stops -= 1
-            await self._play_late(body, self._begin_stop)
+            await self._delay_order(body, self._begin_stop)
         if self.faults.ignore_stops > 0:
             self.faults.ignore_stops -= 1
         else:
@@ -352,7 +356,7 @@
         return web.json_response({"clockMs": self._clock_ms()})
 
     def _begin_stop(self, body: Json) -> None:
-        """Let a run stop, or refuse it in advance where it is not there."""
+        """Begin to stop a run; if it does not exist yet, refuse its later start."""
         task, number = body["task"], body["run"]
         run = self._runs.get((task, number))
         if run is None:
@@ -361,14 +365,14 @@
             run.stopping_at_s = time.monotonic() + self.faults.stop_s
 
     def _confirm(self, observed: int) -> None:
-        """Forget the ends up to a number."""
+        """Remove the ended runs up to a number."""
         for number, task, run, _, _ in self._ends:
-            if number <= observed and self._ended_at_s[task, run] < self._lapsed_at_s:
+            if number <= observed and self._ended_at_s[task, run] < self._expired_at_s:
                 self.unknown_ends.add((task, run))
         self._ends = [end for end in self._ends if end[0] > observed]
 
     async def _hold(self, body: Json) -> web.StreamResponse:
-        self._extend(body)
+        self._renew_leases(body)
         self._confirm(body["observed"])
         until_s = time.monotonic() + body.get("waitMs", 0) / 1000
         while not self._ends and time.monotonic() < until_s:
@@ -385,7 +389,7 @@
             {
                 "clockMs": self._clock_ms(),
                 "running": running,
-                "finished": self._ends[:MOST_ENDS],
-                **self._birth(),
+                "finished": self._ends[:MAX_ENDS],
+                **self._birth_fields(),
             }
         )
--- a/src/streamthread/standins/cell/store.py
+++ b/src/streamthread/standins/cell/store.py
@@ -1,4 +1,4 @@
-"""A row store in memory that speaks the users' pages."""
+"""A stand-in for the row store: in memory, with the documented protocol."""
 
 import asyncio
 import time
@@ -15,29 +15,27 @@
 Json = dict[str, t.Any]
 Key = tuple[str, str, str]
 
-MOST_KEY_BYTES = 200
-"""A transaction with a longer key is refused (the users' pages)."""
+MAX_KEY_BYTES = 200
+"""Documented limit: a transaction with a longer key is refused."""
 
 PIECE_BYTES = 4096
-"""An answer over a small link comes in pieces of this size."""
+"""Size of the pieces in which an answer is sent over a simulated slow link."""
 
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong; a test changes the fields.
+    """The simulated faults; tests change the fields.
 
-    :param refuse: status with which every call is refused, or 0.
+    :param refuse: HTTP status with which every call is refused; 0: none.
     :param silent: calls get no answer and have no effect.
-    :param lose_answers: of the next so many writes the answer is lost, though
-        they take effect.
-    :param late_s: lost writes take effect only after so long.
-    :param delay_s: every answer takes so much longer.
+    :param lose_answers: number of next writes that take effect but get no answer.
+    :param late_s: delay until these writes take effect.
+    :param delay_s: additional delay of every answer.
     :param forget_before: the feed has lost the history before this version.
-    :param answer_bytes_per_s: each answer comes at this rate, as over a small link;
-        0: at once.
-    :param stall_after_bytes: answers stop after so many bytes, and their connections
-        stay open; 0: never.
-    :param silent_feed: the feed of this table gives no answer; empty: all do.
+    :param answer_bytes_per_s: rate of each answer, as over a slow link; 0: unlimited.
+    :param stall_after_bytes: answers stop after this number of bytes while their
+        connections stay open; 0: never.
+    :param silent_feed: name of a table whose feed gives no answer; empty: none.
     """
 
     refuse: int = 0
@@ -69,7 +67,7 @@
     # For tests.
 
     async def put(self, table: str, key: str, value: str, part: str = "") -> None:
-        """Write a row as the operator or a runner would."""
+        """Write a row, as the operator or a runner would."""
         async with self._changed:
             self.version += 1
             self._set((table, part, key), value)
@@ -94,7 +92,7 @@
         if self.rows.pop(key, None) is not None:
             self.history.append((self.version, key))
 
-    # The served side.
+    # Request handlers.
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         faults = self.faults
@@ -121,7 +119,7 @@
     async def _send_in_pieces(
         self, request: web.BaseRequest, response: web.Response
     ) -> web.StreamResponse:
-        """Send an answer as the faults say, which may change meanwhile."""
+        """Send an answer with the present faults, which may change while it is sent."""
         body = t.cast(bytes, response.body)
         stream = web.StreamResponse(status=response.status)
         stream.content_type = response.content_type
@@ -156,7 +154,7 @@
 
     async def _apply(self, body: Json) -> tuple[int, Json]:
         written = [*body.get("put", ()), *body.get("remove", ())]
-        if any(len(row["key"].encode()) > MOST_KEY_BYTES for row in written):
+        if any(len(row["key"].encode()) > MAX_KEY_BYTES for row in written):
             return 400, {}
         async with self._changed:
             conditions = body.get("expectedRev", ())
@@ -210,7 +208,7 @@
             if table == self.faults.silent_feed:
                 await asyncio.sleep(PLAY_DEAD_S)
             async with self._changed:
-                # As of one moment: a change may come just when the time is over.
+                # Read rows and version together: a change may arrive at the timeout.
                 return web.json_response(
                     {
                         "rows": [
--- a/src/streamthread/standins/cell/world.py
+++ b/src/streamthread/standins/cell/world.py
@@ -1,4 +1,4 @@
-"""A small platform in one process: store, cloud, machines and their runners."""
+"""A platform stand-in in one process: store, cloud, machines and their runners."""
 
 import base64
 import itertools
@@ -17,21 +17,21 @@
 SPARE_POOL = "spare"
 
 BACK_S = 0.3
-"""A runner that a task has crashed is back after so long, at the same address."""
+"""Time until a runner that a task has crashed is restarted at the same address."""
 
 
 class CellWorld:
-    """Everything that a cell's daemons speak to.
-
-    :param pools: names of the pools and how many machines each has.
-    :param cpu: the room of each runner, in full.
-    :param keeps_ids: runners that a task has crashed start again under their ids.
-    :param reports_birth: runners tell when their lives began; those that do not get a
-        new id with each life.
-    :param accounts: the client accounts that manifests name from now on, as they stand
-        on the wire; None: there are none, and no route needs a key.
-    :param crashes: ids of the runners that a task has taken down.
-    :param crashed_runs: tasks and runs that have done so.
+    """All external services that the daemons of a cell call.
+
+    :param pools: the number of machines by pool name.
+    :param cpu: the full CPU capacity of each runner.
+    :param keeps_ids: runners that a task has crashed restart with the same id.
+    :param reports_birth: runners report when their incarnations started; other runners
+        get a new id with each incarnation.
+    :param accounts: the client accounts of future manifests, in their wire format;
+        None: there are no accounts, and no route needs a key.
+    :param crashes: ids of the runners that a task has crashed.
+    :param crashed_runs: the task and run number of each run that crashed its runner.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         reports_birth: bool = True,
     ) -> None:
         self.store = StoreStandin()
-        self.cloud = CloudStandin(self._make_runner, self._end_life)
+        self.cloud = CloudStandin(self._make_runner, self._end_incarnation)
         self.started: list[StartedRun] = []
         self.ended: list[tuple[str, int, str, float]] = []
         self.runners: list[RunnerStandin] = []
@@ -79,7 +79,7 @@
         machine.runner = await self._make_runner(machine_id, pool)
 
     def _on_crash(self, runner: RunnerStandin, run: tuple[str, int]) -> None:
-        """A task has taken a runner down: its machine starts a new life."""
+        """Record that a run has crashed its runner, and start a new incarnation."""
         self.crashes.append(runner.runner_id)
         self.crashed_runs.add(run)
         for machine in self.cloud.machines.values():
@@ -90,7 +90,7 @@
     async def _make_runner(
         self, machine_id: str, pool: str, port: int = 0, runner_id: str = ""
     ) -> RunnerStandin:
-        """Start a life of a runner; that of an earlier one begins its clock anew."""
+        """Start a runner incarnation; with a given id, its clock starts again at 0."""
         runner = RunnerStandin(
             runner_id or f"i-{next(self._numbers)}",
             pool,
@@ -109,25 +109,25 @@
         await self.write_entry(runner)
         return runner
 
-    async def _end_life(self, runner: RunnerStandin) -> None:
+    async def _end_incarnation(self, runner: RunnerStandin) -> None:
         await self.store.drop("servers", runner.runner_id)
 
     def running(self) -> t.Iterator[str]:
-        """Yield the tasks that run now on some runner."""
+        """Yield the tasks that are running on any runner."""
         for runner in self.runners:
             if runner.alive:
                 yield from runner.running()
 
     async def write_entry(self, runner: RunnerStandin) -> None:
-        """Write a runner's entry as it is now."""
+        """Write a runner's present entry."""
         await self._put("servers", runner.runner_id, runner.entry())
 
     async def write_manifest(
         self, version: int, more_routes: int = 0, **route: t.Any
     ) -> None:
-        """Write a manifest: a route a pool, under the host of the pool's name.
+        """Write a manifest with one route per pool, whose host has the pool's name.
 
-        :param more_routes: so many routes besides, to the first pool.
+        :param more_routes: number of additional routes to the first pool.
         """
         routes = [
             {
@@ -159,7 +159,7 @@
     async def write_wave(
         self, number: int, machine_ids: t.Sequence[str], most_at_once: int
     ) -> None:
-        """Ask for the upkeep of machines."""
+        """Request the upkeep of machines."""
         wave = {
             "wave": number,
             "machines": list(machine_ids),
@@ -174,18 +174,18 @@
     async def write_bytes(
         self, table: str, key: str, value: bytes, part: str = ""
     ) -> None:
-        """Write a row as any other writer may."""
+        """Write an arbitrary row, as any other client of the store can."""
         await self.store.put(table, key, base64.b64encode(value).decode(), part)
 
     def wave_state(self, number: int) -> str:
-        """Return what the operator reads of a wave."""
+        """Return the state of a wave that the operator reads."""
         row = self.store.rows.get(("status", "", f"wave/{number}"))
         if row is None:
             return ""
         return str(json.loads(base64.b64decode(row[0]))["state"])
 
     def node_settings(self, daemon_id: str, ip: str = "127.0.0.1") -> str:
-        """Return a daemon's settings file as the platform would lay it down."""
+        """Return the settings file that the platform would provide for a daemon."""
         return json.dumps(
             {
                 "node": daemon_id,
--- a/src/streamthread/standins/faults.py
+++ b/src/streamthread/standins/faults.py
@@ -1,4 +1,4 @@
-"""The faults that the platform stand-in can be told to show."""
+"""The faults that the platform stand-in can simulate."""
 
 import asyncio
 import time
@@ -10,19 +10,19 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong now; replaced over HTTP while the stand-in runs.
+    """The present faults; they can be changed over HTTP while the stand-in runs.
 
     :param latency_s: added to each call of the table service.
-    :param outage: the table service and object store refuse everything.
-    :param lose_replies: the answers of so many commits are lost, after they
-        took effect.
-    :param refuse_writes: only commits are refused.
-    :param hold_pool_commit: one commit that writes a pool's row is on its way for as
-        long as this is set, and arrives then.
-    :param membership_lag_s: changes show in the membership list so much later.
-    :param reboot_s: how long a reboot takes.
-    :param failing_workers: these fail each task at once.
-    :param stuck_reboots: reboots of these never end.
+    :param outage: the table service and the object store refuse every call.
+    :param lose_replies: number of commits whose answers are lost after the commits took
+        effect.
+    :param refuse_writes: only writes are refused.
+    :param hold_pool_commit: one commit that writes a pool's row is delayed for as long
+        as this is set, and takes effect afterwards.
+    :param membership_lag_s: delay before the membership list shows a change.
+    :param reboot_s: duration of a reboot.
+    :param failing_workers: ids of workers on which each task fails at once.
+    :param stuck_reboots: ids of instances whose reboots never end.
     """
 
     latency_s: float = 0.001
@@ -37,7 +37,7 @@
 
 
 class RateLimit:
-    """A token bucket: so many calls a second, one second's worth saved up."""
+    """A token bucket that allows a burst of as many calls as one second earns."""
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
@@ -45,7 +45,7 @@
         self._at_s = time.monotonic()
 
     def take(self) -> bool:
-        """Whether one more call fits in."""
+        """Take a token; return whether one was available."""
         now_s = time.monotonic()
         earned = (now_s - self._at_s) * self._per_s
         self._tokens = min(self._per_s, self._tokens + earned)
@@ -57,6 +57,6 @@
 
 
 async def delay(latency_s: float) -> None:
-    """Wait as the faults ask."""
+    """Wait for a simulated latency."""
     if latency_s > 0:
         await asyncio.sleep(latency_s)
--- a/src/streamthread/standins/platform.py
+++ b/src/streamthread/standins/platform.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform: its HTTP protocol over the adapter in memory.
+"""A stand-in for the platform: its HTTP protocol on top of the in-memory adapter.
 
-Besides the platform's own paths it serves ``/standin/...``: instances to
-register, faults to show, counters to read.
+In addition to the platform's own paths, it serves ``/standin/...`` to register
+instances, set faults and read counters.
 """
 
 import asyncio
@@ -34,9 +34,9 @@
 READS_PER_S = 2000.0
 
 HOLD_POLL_S = 0.02
-"""How often a commit on its way looks whether it may arrive."""
+"""How often a delayed commit checks whether it may take effect."""
 
-LARGEST_BODY_BYTES = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class PlatformStandin(Service):
@@ -46,7 +46,7 @@
         super().__init__()
         self.port = port
         self.faults = Faults()
-        self._holds_commit = False
+        self._delaying_commit = False
         self.counters: collections.Counter[str] = collections.Counter()
         self._host = host
         self._platform = memory_platform()
@@ -61,7 +61,7 @@
     async def on_start(self) -> None:
         """Open the port."""
         self._session = aiohttp.ClientSession()
-        app = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         for path, handler in self._routes().items():
             app.router.add_post(path, handler)
         app.router.add_get("/standin/counters", self._get_counters)
@@ -97,7 +97,7 @@
             "/standin/faults": self._plain(self._set_faults),
         }
 
-    # Wrapping of handlers.
+    # Wrappers for handlers.
 
     def _plain(self, handler: t.Any) -> t.Any:
         async def handle(request: web.Request) -> web.Response:
@@ -148,25 +148,25 @@
     async def _tables_commit(self, body: JsonObject) -> t.Any:
         transaction = cattrs.structure(body, Transaction)
         self.counters["rows_written"] += len(transaction.writes)
-        await self._hold(transaction)
+        await self._delay_commit(transaction)
         result = await self._platform.tables.commit(transaction)
         if any(key.startswith("shard/") for key in result.conflicting_keys):
             self.counters["fenced"] += 1
         return cattrs.unstructure(result)
 
-    async def _hold(self, transaction: Transaction) -> None:
-        """Let one commit about a pool be on its way for as long as asked to."""
+    async def _delay_commit(self, transaction: Transaction) -> None:
+        """Delay one commit that writes a pool's row, while the fault is set."""
         about_pool = any(write.key.startswith("pool/") for write in transaction.writes)
-        if not self.faults.hold_pool_commit or self._holds_commit or not about_pool:
+        if not self.faults.hold_pool_commit or self._delaying_commit or not about_pool:
             return
-        self._holds_commit = True
+        self._delaying_commit = True
         self.counters["held"] += 1
         try:
             while self.faults.hold_pool_commit:
                 await asyncio.sleep(HOLD_POLL_S)
         finally:
-            # Also where the caller is gone: the next commit may be held then.
-            self._holds_commit = False
+            # Reset even if the caller is gone, so that a later commit can be delayed.
+            self._delaying_commit = False
 
     async def _objects_put(self, body: JsonObject) -> JsonObject:
         await self._platform.objects.put(body["key"], body["body"].encode())
@@ -194,7 +194,7 @@
         return {}
 
     async def _set_status(self, body: JsonObject) -> JsonObject:
-        """Change what the platform knows, and with the lag what it lists."""
+        """Change the status of instances; the membership list follows with its lag."""
         for instance_id in body["instance_ids"]:
             status = InstanceStatus(body["status"])
             if status is InstanceStatus.LOST:
@@ -252,7 +252,7 @@
         self._membership.put(attrs.evolve(instance, status=InstanceStatus.LEAVING))
         if instance_id in self.faults.stuck_reboots:
             return {}
-        await self._tell(instance_id, self.faults.reboot_s)
+        await self._start_reboot(instance_id, self.faults.reboot_s)
         asyncio.get_running_loop().call_later(
             self.faults.reboot_s, self._end_reboot, instance_id, from_boot
         )
@@ -261,8 +261,8 @@
     def _end_reboot(self, instance_id: str, from_boot: int) -> None:
         self._list_later(instance_id, boot=from_boot + 1, status=InstanceStatus.LIVE)
 
-    async def _tell(self, instance_id: str, reboot_s: float) -> None:
-        """Have the instance itself go down for as long."""
+    async def _start_reboot(self, instance_id: str, reboot_s: float) -> None:
+        """Tell the instance itself to be down for the duration of the reboot."""
         url = self._control_urls.get(instance_id)
         if url and self._session is not None:
             body = {"instance_id": instance_id, "reboot_s": reboot_s}
--- a/src/streamthread/standins/proxy.py
+++ b/src/streamthread/standins/proxy.py
@@ -1,6 +1,6 @@
-"""A small TCP proxy that shows faults, driven over HTTP.
+"""A small TCP proxy that simulates network faults, controlled over HTTP.
 
-One proxy process carries many links, each from a port of its own to a target.
+One proxy process serves many links, each from its own port to a target.
 """
 
 import asyncio
@@ -20,16 +20,16 @@
 
 @attrs.frozen
 class LinkFaults:
-    """What is wrong with a link now.
-
-    :param delay_s: each block is held so long, in both directions.
-    :param cut: new connections are refused and present ones are reset.
-    :param blackhole: bytes are swallowed in both directions.
-    :param half_close: the target's answers end where they are, cleanly.
-    :param drop_answers: bytes reach the target, its answers are swallowed.
-    :param reset_after_bytes: connections are reset after so many bytes of
-        answers; 0 never.
-    :param bytes_per_s: each connection carries so much in each direction; 0: all.
+    """The present faults of a link.
+
+    :param delay_s: delay of each block, in both directions.
+    :param cut: new connections are refused and open ones are reset.
+    :param blackhole: all bytes are dropped, in both directions.
+    :param half_close: the target's answers end early with a regular end of stream.
+    :param drop_answers: bytes reach the target, but its answers are dropped.
+    :param reset_after_bytes: connections are reset after this number of bytes of
+        answers; 0: never.
+    :param bytes_per_s: bandwidth of each connection in each direction; 0: unlimited.
     """
 
     delay_s: float = 0.0
@@ -42,7 +42,7 @@
 
 
 class Link:
-    """One listening port and its target, which may be named later."""
+    """A listening port and its target, which can be set later."""
 
     def __init__(self) -> None:
         self.faults = LinkFaults()
@@ -55,22 +55,22 @@
         self._silent: set[asyncio.StreamWriter] = set()
 
     async def start(self, host: str) -> None:
-        """Listen on a port that the system chooses."""
+        """Listen on a port that the operating system chooses."""
         self._server = await asyncio.start_server(self._accept, host, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def set_target(self, host: str, port: int) -> None:
-        """Name the target of new connections."""
+        """Set the target of new connections."""
         self._target = (host, port)
 
     def set_faults(self, faults: LinkFaults) -> None:
-        """Change the faults; a cut resets what is open."""
+        """Change the faults; a cut resets all open connections."""
         self.faults = faults
         if faults.cut:
             self.reset_all()
 
     def silence_open(self) -> None:
-        """Let every connection that is open now carry nothing more, without an end."""
+        """Drop all further bytes on the open connections, without closing them."""
         self._silent |= self._writers
 
     def reset_all(self) -> None:
@@ -79,7 +79,7 @@
             writer.transport.abort()
 
     async def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -98,8 +98,8 @@
         self._writers |= {writer, far_writer}
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, answers=False),
-                self._pump(far_reader, writer, answers=True),
+                self._forward(reader, far_writer, answers=False),
+                self._forward(far_reader, writer, answers=True),
             )
         finally:
             for side in (writer, far_writer):
@@ -113,14 +113,14 @@
         else:
             self.bytes_to_target += size_bytes
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         answers: bool,
     ) -> None:
-        passed = 0
-        # The other side may be gone already: then there is nobody to tell.
+        forwarded = 0
+        # The other side may already be closed; then there is nothing left to forward.
         with contextlib.suppress(OSError):
             while block := await reader.read(BLOCK_BYTES):
                 faults = self.faults
@@ -134,10 +134,10 @@
                     continue
                 if answers and faults.half_close:
                     break
-                passed += len(block)
+                forwarded += len(block)
                 self._count(len(block), answers)
                 limit = faults.reset_after_bytes
-                if answers and limit and passed > limit:
+                if answers and limit and forwarded > limit:
                     writer.transport.abort()
                     return
                 writer.write(block)
@@ -147,7 +147,7 @@
 
 
 class FaultProxy(Service):
-    """Links by name, created and changed over HTTP."""
+    """A set of named links that are created and changed over HTTP."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__()
@@ -175,7 +175,7 @@
             await self._runner.cleanup()
 
     async def _list(self, request: web.Request) -> web.Response:
-        """Return how many bytes each link has carried."""
+        """Return the number of bytes that each link has carried."""
         return web.json_response(
             {
                 name: {
@@ -187,7 +187,7 @@
         )
 
     async def _create(self, request: web.Request) -> web.Response:
-        """Create a link, or name the target of one."""
+        """Create a link or set its target."""
         body: JsonObject = await request.json()
         name = request.match_info["name"]
         if name not in self.links:
--- a/src/streamthread/standins/upstreams.py
+++ b/src/streamthread/standins/upstreams.py
@@ -1,8 +1,8 @@
-"""Stand-ins for upstreams: runners with slots, that count what they run.
+"""Stand-ins for upstreams: runners with slots that count the requests they run.
 
-Each runner listens on its own port. A request may ask for ``delay_ms`` and
-``size_bytes``; its answer repeats a digest of the request's body, so that a
-caller can tell that the answer is its own.
+Each runner listens on its own port. A request may set ``delay_ms`` and ``size_bytes``.
+The answer contains a digest of the request's path and body, so that a caller can check
+that it received the answer to its own request.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class RunnerPlan(t.NamedTuple):
-    """Where one runner is and what it is called."""
+    """The id, place and labels of one runner."""
 
     instance_id: str
     hall: str
@@ -35,7 +35,7 @@
 
 
 class Runner:
-    """One upstream: refuses above its slots, counts starts by key."""
+    """One upstream. It refuses requests beyond its slots and counts starts by key."""
 
     def __init__(self, plan: RunnerPlan, slots: int) -> None:
         self.plan = plan
@@ -105,7 +105,7 @@
     async def _long_answer(
         self, request: web.Request, digest: str, size_bytes: int
     ) -> web.StreamResponse:
-        """Send the digest, then filler; break off where the request says so."""
+        """Send the digest and filler bytes; abort after ``break_at_bytes`` if set."""
         headers = {"Content-Type": "application/octet-stream", **self._headers()}
         response = web.StreamResponse(headers=headers)
         if "chunked" not in request.query:
