--- a/src/streamthread/platform/http.py
+++ b/src/streamthread/platform/http.py
@@ -43,7 +43,7 @@
 """Number of parsed URLs in the cache: a few for each runner of a large deployment."""
 
 NO_BODY = b"{}"
-"""Stands for the body of an answer that has none, and therefore only a status."""
+"""Decoded in place of a missing body, whose answer says nothing but its status."""
 
 SILENCE_S = 0.8
 """Maximum pause between two pieces of an answer that has begun. The total duration is
