--- a/src/streamthread/capacity/bursts.py
+++ b/src/streamthread/capacity/bursts.py
@@ -77,7 +77,7 @@
         return MARGIN_DEVIATIONS * deviation
 
     def lower_bound(self, now_s: float) -> float:
-        """Return the rate less its margin of error: near 0 after one or two jobs."""
+        """Return the rate less its margin of error, which is 0 after a single job."""
         return max(0.0, self.value(now_s) - self.margin(now_s))
 
     def converged_share(self, for_s: float) -> float:
@@ -125,8 +125,8 @@
     """Tracks the arrivals in one pool, and the bursts among them.
 
     A burst starts at its full rate, without a rise. When it starts, the slow mean is
-    built anew from the jobs of the burst alone, and is scaled up by the share of the
-    rate that it can have reached since then.
+    built anew from the jobs of the burst alone. As it approaches a rate only gradually,
+    it is divided by the share of a steady rate that it can have reached since then.
 
     :param present: the current burst, or None.
     """
@@ -194,7 +194,9 @@
         return self._jobs_per_s(now_s) * self._mean_work.value
 
     def forecast(self, now_s: float, ahead_s: float) -> float:
-        """Return the future rate, if it continues to rise as it does at least now.
+        """Return the rate after a time, if the present rise continues until then.
+
+        Only the part of the rise that is unlikely to be chance counts.
 
         :param ahead_s: the time that it takes to add capacity.
         """
--- a/src/streamthread/capacity/demand.py
+++ b/src/streamthread/capacity/demand.py
@@ -15,8 +15,8 @@
 __all__ = ["Demand", "Work", "job_work", "pool_demand", "required_resources"]
 
 LATE_SPREAD_FACTOR = 1.5
-"""The open work of a job that is already late is spread over the length of its longest
-open chain times this factor."""
+"""The open work of a job that can no longer end in time is spread over the length of
+its longest open chain times this factor."""
 
 MIN_SPREAD_S = 0.3
 """Shortest time over which work is spread, so that a job that is nearly done does not
@@ -150,8 +150,8 @@
 def _time_left_s(occurrence: Occurrence, times: RunTimes, now_s: float) -> float:
     """Return the time over which an occurrence's open work is spread.
 
-    It is not shorter than the longest open chain. An occurrence that is late anyway
-    does not get more resources for that.
+    It is not shorter than the longest open chain. An occurrence that can no longer end
+    in time does not get more resources the later it is.
     """
     open_s, latest_end_s = outlook(occurrence, times)
     left_s = latest_end_s - now_s
--- a/src/streamthread/capacity/plan.py
+++ b/src/streamthread/capacity/plan.py
@@ -41,8 +41,8 @@
     :param cold_s: after a start, all machines stay out of the spare pool until the
         first job arrives, but at most for this time.
     :param cold_leave_s: after the first job, the unneeded machines leave gradually over
-        this time. A machine that moves is missing for 1.5 s, and the first burst
-        shows at this time.
+        this time. A moving machine is missing for 1.5 s, and the first burst is
+        detected just then, so not all of them may leave at once.
     :param burst_machines: arrivals that need fewer machines than this are not a burst.
     """
 
