--- a/src/streamthread/standins/cell/cloud.py
+++ b/src/streamthread/standins/cell/cloud.py
@@ -140,7 +140,7 @@
     def crash(
         self, machine: MachineStandin, for_s: float, keep_id: bool = False
     ) -> None:
-        """Crash a machine's runner; a new incarnation starts later at its address.
+        """Crash a machine's runner; a new one starts after ``for_s`` at its address.
 
         :param keep_id: the new incarnation has the id of the former one, whose entry
             remains until then.
--- a/src/streamthread/standins/cell/foreign.py
+++ b/src/streamthread/standins/cell/foreign.py
@@ -65,7 +65,7 @@
         if name == "clockMs":
             continue
         for other in _OTHER_VALUES:
-            # A machine may be null; every other field rejects values of another type.
+            # A machine may be null. Otherwise a field rejects other types and -1.
             if other is None and name == "machine":
                 continue
             if not _same_type(value, other) or other == -1:
--- a/src/streamthread/standins/cell/runner.py
+++ b/src/streamthread/standins/cell/runner.py
@@ -107,9 +107,9 @@
     :param ended: the task, run, kind and time of all runners' ended runs, in a shared
         list.
     :param failures: how often each task has failed, shared by all runners.
-    :param unknown_ends: runs whose ends a holder need not know. Either the leases on
-        this runner expired before the end was confirmed, or the incarnation ended
-        before.
+    :param unknown_ends: runs whose ends no holder has to know. Either the leases on
+        this runner expired between the end of the run and its confirmation, or the
+        incarnation ended before the confirmation.
     :param late_orders: number of unanswered orders that are still to be carried out.
     :param over_capacity: tasks that were started without sufficient free capacity, with
         the time of each start.
--- a/src/streamthread/standins/faults.py
+++ b/src/streamthread/standins/faults.py
@@ -37,7 +37,7 @@
 
 
 class RateLimit:
-    """A token bucket that allows a burst of as many calls as one second earns."""
+    """A token bucket: refilled at ``per_s``, it holds one second's calls at most."""
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
