--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -11,7 +11,7 @@
 from ..errors import OutcomeUnknownError
 from ..errors import StoreUnavailableError
 from ..errors import StreamthreadError
-from ..platform.runners import LifeOverError
+from ..platform.runners import IncarnationEndedError
 from ..platform.runners import OrderReply
 from ..platform.runners import Refusal
 from ..platform.runners import RunnerClient
@@ -122,7 +122,7 @@
             try:
                 reply = await self._send_start(attempt, link)
                 attempt.open_starts -= 1
-            except LifeOverError:
+            except IncarnationEndedError:
                 attempt.open_starts -= 1
                 if not uncertain:
                     # It certainly began nowhere, so no exit is attributed to it.
@@ -204,7 +204,7 @@
             self._engine.stop(attempt, f"refused-{refusal.value}")
         else:
             self._engine.refuse(attempt, refusal.value)
-        if refusal in (Refusal.UNHEALTHY, Refusal.NO_ROOM):
+        if refusal in (Refusal.UNHEALTHY, Refusal.NO_CAPACITY):
             link.runner.ready = False
         self._owner.kick()
         return True
@@ -293,7 +293,7 @@
                 self._owner.token,
                 self._settings.answer_s,
             )
-        except LifeOverError:
+        except IncarnationEndedError:
             link.over = True
             self._owner.on_runner_exit(link, "another incarnation answered a pace")
             return
@@ -340,7 +340,7 @@
                 self._owner.token,
                 self._settings.answer_s,
             )
-        except LifeOverError:
+        except IncarnationEndedError:
             self._on_exit(link, "another incarnation answered a stop")
         except (StoreUnavailableError, OutcomeUnknownError) as error:
             if log_unanswered:
--- a/tests/cell/test_room.py
+++ b/tests/cell/test_room.py
@@ -21,11 +21,11 @@
 
 def _disable_enforcement(cell: Cell) -> None:
     for runner in cell.world.runners:
-        runner.faults.unguarded = True
+        runner.faults.overcommit = True
 
 
 def _over_capacity(cell: Cell) -> list[str]:
-    return [task for runner in cell.world.runners for task, _ in runner.over_room]
+    return [task for runner in cell.world.runners for task, _ in runner.over_capacity]
 
 
 def _long_running_job(cpu: int, count: int) -> bytes:
--- a/tests/model/runners.py
+++ b/tests/model/runners.py
@@ -10,7 +10,7 @@
 from streamthread.platform.runners import EndedRun
 from streamthread.platform.runners import EndKind
 from streamthread.platform.runners import HoldReply
-from streamthread.platform.runners import LifeOverError
+from streamthread.platform.runners import IncarnationEndedError
 from streamthread.platform.runners import OrderReply
 from streamthread.platform.runners import Refusal
 from streamthread.platform.runners import RunnerClient
@@ -54,7 +54,7 @@
     Outcome.UNHEALTHY: Refusal.UNHEALTHY,
     Outcome.UNHEALTHY_CLOCK: Refusal.UNHEALTHY,
     Outcome.MALFORMED: Refusal.MALFORMED,
-    Outcome.NO_CAPACITY: Refusal.NO_ROOM,
+    Outcome.NO_CAPACITY: Refusal.NO_CAPACITY,
 }
 
 Run = tuple[str, int]
@@ -196,7 +196,7 @@
             self._expiry.cancel()
         left_s = (self._deadline_ms - self.clock_ms) / 1000 / self._rate
         loop = asyncio.get_running_loop()
-        self._expiry = loop.call_later(left_s, self.end_all, EndKind.LAPSED)
+        self._expiry = loop.call_later(left_s, self.end_all, EndKind.EXPIRED)
 
     def _end_later(self, after_s: float, run: Run, kind: EndKind) -> None:
         asyncio.get_running_loop().call_later(after_s, self._end, run, kind)
@@ -323,7 +323,7 @@
         ):
             await _no_answer(timeout_s)
         if incarnation.runner_id != runner_id:
-            raise LifeOverError(runner_id)
+            raise IncarnationEndedError(runner_id)
         return incarnation
 
 
