--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -3,7 +3,7 @@
 A runner exit comes with no list, so nothing else counts it against the tasks that ran
 there: their runs expire and the tasks are placed again. Two tasks that crashed their
 runners took down 9 runners a second, in a pool of 16, for as long as they were placed
-again. Each such task is now given up after three or four crashes. The tasks that ran
+again. Each such task is given up after three or four crashes. The tasks that ran
 beside it continue: an exit is attributed only to the tasks that had been started last
 on the runner, and these run apart from others until it is known which of them caused
 it.
@@ -76,7 +76,8 @@
 class _Attribution:
     """The attempts to which a runner exit is attributed.
 
-    :param exact: the attempts are known to have been started last before the exit.
+    :param exact: the attempts are known to have been started last, shortly before the
+        exit.
     :param later: the runner certainly stayed alive after the start.
     """
 
@@ -123,7 +124,10 @@
         return task.lost_runners + sum(a.suspected for a in task.attempts) < 2
 
     def on_runner_response(self, runner: RunnerState) -> None:
-        """Clear the suspicions: the runner was unreachable and did not crash."""
+        """Clear suspicions and withdraw attributed exits, since the runner is alive.
+
+        It was unreachable, and no run crashed it.
+        """
         for attempt in runner.attempts.values():
             attempt.suspected = False
         for blame in runner.blamed:
@@ -140,7 +144,7 @@
         self._ledger.changed(task.step.occurrence.job)
 
     def clear_crashes(self, task: Task) -> None:
-        """Reset a task's counts: one of its runs ended or continued harmlessly."""
+        """Reset a task's counts: a run of it ended or went on without a runner exit."""
         if not task.lost_runners:
             return
         task.crashes = task.later_ends = 0
@@ -159,7 +163,8 @@
     def attribute_exit(self, runner: RunnerState) -> list[Task]:
         """Attribute a runner exit to tasks; return those to be given up.
 
-        An exit that this daemon ordered or the runner announced is not a crash.
+        An exit for an ordered move or upkeep, or one that the runner announced, is not
+        a crash.
         """
         if runner.draining or runner.reserved:
             return []
@@ -188,7 +193,10 @@
         return _Attribution(candidates, exact, later=True)
 
     def attribute_orphan_exit(self, attempt: Attempt) -> list[Task]:
-        """Attribute the exit of a runner that was gone before this holder started."""
+        """Attribute to a run the exit of its runner before this holder took over.
+
+        :return: the run's task if it is to be given up.
+        """
         if not self._may_be_at_fault(attempt):
             return []
         pool = attempt.task.step.occurrence.job.service
@@ -230,7 +238,10 @@
         attribution: _Attribution,
         runner: RunnerState | None = None,
     ) -> None:
-        """Count an exit against a task, and put the task on probation where useful.
+        """Count an exit against a task, and put the task on probation.
+
+        It is not put on probation for its first exit if it is unknown what was started
+        last, since the exit then says too little about the task.
 
         :param runner: the runner that exited; None if this holder does not know it.
         """
--- a/src/streamthread/scheduler/engine.py
+++ b/src/streamthread/scheduler/engine.py
@@ -139,7 +139,7 @@
         self.stops.request_stop_again(attempt, "runner-restarted")
 
     def runner_exited(self, runner_id: str, why: str) -> None:
-        """Handle the certain exit of a runner incarnation and of all its runs."""
+        """Handle a runner exit that is certain: none of its runs exists any more."""
         runner = self.runners.pop(runner_id, None)
         if runner is None:
             return
@@ -151,7 +151,7 @@
         self._expire(attempts, runner)
 
     def _expire(self, attempts: t.Sequence[Attempt], runner: RunnerState) -> None:
-        """Requeue lost tasks, and give up those that caused too many runner exits."""
+        """Requeue lost tasks, and give up those with too many attributed exits."""
         given_up = self._crashes.attribute_exit(runner)
         for attempt in attempts:
             self._ledger.expire(attempt, runner)
@@ -188,7 +188,10 @@
             self._stop_on_next_incarnation(attempt, after)
 
     def attempts_expired(self, runner_id: str, why: str) -> None:
-        """Handle the certain expiry of all runs on a runner that may be alive."""
+        """Handle that all runs on a runner have expired for certain.
+
+        The runner itself may still be alive.
+        """
         runner = self.runners.get(runner_id)
         if runner is None or not runner.attempts:
             return
@@ -203,7 +206,7 @@
         return self._ledger.orphans()
 
     def drop_orphan(self, attempt: Attempt) -> None:
-        """Handle the certain expiry of an attempt on an unknown runner."""
+        """Handle that an attempt on an unknown runner has expired for certain."""
         given_up = self._crashes.attribute_orphan_exit(attempt)
         self._ledger.expire(attempt, None)
         for task in given_up:
@@ -225,7 +228,10 @@
 
     @property
     def unlisted_runs(self) -> int:
-        """The number of runs that count as running but have long not been listed."""
+        """The number of runs that count as running although no list shows them.
+
+        A run is included once it has been unlisted for longer than ``unlisted_s``.
+        """
         since_s = boot_s() - self.settings.unlisted_s
         return sum(
             0 < attempt.unlisted_since_s < since_s
--- a/src/streamthread/scheduler/outcomes.py
+++ b/src/streamthread/scheduler/outcomes.py
@@ -1,4 +1,4 @@
-"""Processes what runners report about their runs, for tasks and jobs."""
+"""Processes what runners report about runs, and updates tasks and jobs."""
 
 import time
 import typing as t
@@ -132,7 +132,10 @@
             task.checkpoint = checkpoint
 
     def _on_missing(self, runner: RunnerState, attempt: Attempt, clock_ms: int) -> None:
-        """Handle a confirmed run that is in neither of the runner's newer lists."""
+        """Handle a confirmed run that is listed neither as running nor as ended.
+
+        Lists that may be older than the runner's confirmation of it prove nothing.
+        """
         if attempt.phase not in (Phase.CONFIRMED, Phase.STOPPING):
             return
         known_ms = attempt.confirmed_clock_ms
@@ -244,7 +247,7 @@
         self._ledger.requeue(task)
 
     def give_up(self, task: Task) -> None:
-        """Stop starting a task under which too many runners have exited."""
+        """Stop starting a task to which too many runner exits are attributed."""
         job = task.step.occurrence.job
         if task.state is TaskState.DONE or job.over:
             return
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -89,9 +89,10 @@
 
 
 def outlook(occurrence: Occurrence, times: RunTimes) -> tuple[float, float]:
-    """Return the duration of an occurrence's open chain and its latest end.
+    """Return how long an occurrence still takes, and when it has to end.
 
-    :return: seconds, and the latest wall time of an end that meets the objective.
+    :return: the length of the longest chain of open steps in seconds, and the latest
+        wall time at which the occurrence may end to meet the job's objective.
     """
     job = occurrence.job
     chain_s = open_chain_s(occurrence, times, only_open=False)
@@ -105,8 +106,8 @@
 
     Steps are sorted by priority. Within a priority, long-running tasks come first,
     since they are productive for as long as they run. Next come the jobs that can still
-    meet their objective, those with the least slack first, and then all others, the
-    oldest first.
+    meet their objective, those with the least slack first, and then all others, those
+    that should have started earliest first.
     """
     job = step.occurrence.job
     if step.request.lasting:
@@ -191,7 +192,10 @@
 
 
 def is_avoided(task: Task, runner: RunnerState) -> bool:
-    """Whether a task failed, lagged or was silent on this runner incarnation."""
+    """Whether a task is to run elsewhere than on this incarnation of a runner.
+
+    It failed or lagged there, or the runner became silent while it had the task.
+    """
     return bool(task.avoid) and runner.incarnation in task.avoid
 
 
--- a/src/streamthread/scheduler/settings.py
+++ b/src/streamthread/scheduler/settings.py
@@ -27,9 +27,10 @@
         be placed on a runner that is being emptied.
     :param crashes_alone: a task is given up after this many runner exits if it alone
         had just been started on the last of these runners. Two is the minimum that
-        distinguishes the task from those that ran beside it, but with two, a task was
-        given up because unrelated runner exits hit it twice in a row while it was
-        isolated. The third crash costs one more runner for each faulty task.
+        distinguishes the task from those that ran beside it. With two, however, a
+        runner that crashes on its own while the task runs apart is enough to give the
+        task up, and a task to which this happened twice in a row was given up. The
+        third crash costs one more runner for each faulty task.
     :param unsteady_ends: if this many runners of a pool have recently exited on their
         own, ``crashes_alone`` does not suffice, because the third exit may be one of
         these.
