--- a/src/streamthread/scheduler/accounts.py
+++ b/src/streamthread/scheduler/accounts.py
@@ -16,7 +16,7 @@
 
 
 def may_see(account: str, owner: str) -> bool:
-    """Whether a caller's account may see the submissions of another account.
+    """Whether a caller's account may see the submissions of the account ``owner``.
 
     If either account is empty, access is allowed: the route needed no key, or a daemon
     or job predates client accounts, so the accounts can't be distinguished.
--- a/src/streamthread/scheduler/codec.py
+++ b/src/streamthread/scheduler/codec.py
@@ -38,7 +38,7 @@
 
 
 def encode_definition(job: Job) -> bytes:
-    """Encode the submission; for a job that is over, only how it ended."""
+    """Encode the submission, or only how the job ended if it is over without runs."""
     if job.over and not job.has_attempts():
         return _encode_ended(job)
     value: dict[str, Json] = {
--- a/src/streamthread/scheduler/fleet.py
+++ b/src/streamthread/scheduler/fleet.py
@@ -108,7 +108,7 @@
         )
 
     def is_next_incarnation(self, born_ms: int | None) -> bool:
-        """Whether an incarnation born then has replaced this one."""
+        """Whether an incarnation that began at ``born_ms`` has replaced this one."""
         if born_ms is None or self.born_ms is None:
             return False
         return born_ms != self.born_ms and born_ms not in self.earlier_born_ms
@@ -156,7 +156,7 @@
         self.clock_ms = max(self.clock_ms, clock_ms)
 
     def outlived_ms(self, attempt: Attempt) -> int | None:
-        """Return how long the runner certainly stayed alive after a run existed.
+        """Return how long the runner certainly lived after first confirming a run.
 
         The time is measured on the runner's clock. None means that the runner never
         confirmed the run.
--- a/src/streamthread/scheduler/ledger.py
+++ b/src/streamthread/scheduler/ledger.py
@@ -26,7 +26,7 @@
 
 
 class Ledger:
-    """The jobs and runners that are in memory; reports changes to be recorded.
+    """Keeps the jobs and runners in memory and reports changes to be recorded.
 
     :param changed: called with each job whose progress must be recorded.
     :param jobs: all jobs that are not forgotten, by job id.
--- a/src/streamthread/scheduler/model.py
+++ b/src/streamthread/scheduler/model.py
@@ -230,8 +230,8 @@
 
     :param last_run: the highest run number used so far.
     :param checkpoint: the newest checkpoint that a runner reported.
-    :param avoid: runner incarnations on which the task failed, lagged, or was on a
-        silent runner.
+    :param avoid: runner incarnations on which the task failed or lagged, or which
+        became silent while they had the task.
     :param not_before_s: wall time before which the task is not placed.
     :param waiting_since_s: boot clock time since when the task has no attempt, or since
         when a speculative copy is requested.
@@ -269,7 +269,7 @@
 
     @property
     def lost_runners(self) -> int:
-        """How many runners exited under the task since it last worked for a while."""
+        """How many exits count against the task since it last worked for a while."""
         return self.crashes + self.later_ends
 
     @property
--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -32,9 +32,9 @@
 its runner does so within some 10 ms."""
 
 MAX_ORDER_DELAY_S = 12.0
-"""An unanswered order may be carried out this much later, according to the users'
-description of their failures. Lists do not contain the pace, so nothing shows it
-earlier."""
+"""An unanswered order may be carried out this much later, according to the failures
+that the users describe. Lists do not contain the pace, so nothing shows earlier whether
+a pace order was carried out."""
 
 
 @attrs.frozen
@@ -186,10 +186,10 @@
         reply: OrderReply,
         uncertain: bool,
     ) -> bool:
-        """Process an answer; return whether the order needs no further attempt."""
+        """Process an answer; return whether the order needs no further try."""
         refusal = reply.refusal
         if refusal is None or refusal is Refusal.OLD_RUN:
-            # An old run has ended there: the lists show how, or omit it.
+            # An old run has ended there: the lists show how, or that it is gone.
             self._engine.confirm(attempt, reply.clock_ms or 0)
             return True
         if refusal is Refusal.FENCED:
@@ -253,7 +253,10 @@
         return self._settings.silent_retry_s if silent else self._settings.retry_s
 
     async def _send_stop_once(self, attempt: Attempt, stop: Stop) -> bool:
-        """Return whether the runner has answered or can't be reached now."""
+        """Send a stop once; return whether to end the tries for now.
+
+        They end once the runner has answered, or if this holder has no link to it.
+        """
         link = self._owner.links.get(attempt.runner_id)
         if link is None:
             return True
@@ -275,8 +278,8 @@
     async def pace(self, attempt: Attempt, percent: int) -> None:
         """Set a run's pace once; the next list decides again.
 
-        The pace is set again at each list while an earlier order may still take effect
-        after it.
+        The pace is set again at each list while an earlier, unanswered order may still
+        take effect after the newest one.
         """
         link = self._owner.links.get(attempt.runner_id)
         if link is None or link.silent:
@@ -311,7 +314,10 @@
             attempt.pace_answered(percent, sent_at_s)
 
     async def stop_stray(self, stray: Stray) -> None:
-        """Stop a run that should not exist, once; the next list reports it again."""
+        """Stop a run that should not exist, once.
+
+        If the run is still there, the next list reports it again.
+        """
         link = self._owner.links.get(stray.runner_id)
         if link is None:
             return
