--- a/src/streamthread/scheduler/tests/test_crashes.py
+++ b/src/streamthread/scheduler/tests/test_crashes.py
@@ -247,7 +247,7 @@
     def test_task_that_crashes_each_runner_later_is_given_up(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a task that forever crashes runners 0.3 s after each start."""
+        """Guards against a task that keeps crashing runners 0.3 s after each start."""
         cell = _Cell(patch, jobs=1, runners=4)
         self._outlive_starts(cell, times=8)
         assert cell.at_fault.failed
@@ -269,7 +269,10 @@
     def test_exits_under_an_earlier_holder_count(
         self, patch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against failing for the third of many exits, two before a takeover."""
+        """Guards against failing a job for the third of many unrelated exits.
+
+        Two of them happened before a takeover of the cell.
+        """
         cell = _Cell(patch, jobs=3, runners=3)
         _, *others = cell.engine.jobs.values()
         for number in range(4):
--- a/src/streamthread/scheduler/tests/test_engine.py
+++ b/src/streamthread/scheduler/tests/test_engine.py
@@ -117,7 +117,7 @@
 
     @rule(data=st.data())
     def restart_runner(self, data: t.Any) -> None:
-        """The next incarnation lists nothing; runs that may have reached it stop."""
+        """The next incarnation lists nothing; runs that may be there are stopped."""
         runner_id = data.draw(st.sampled_from(sorted(self.engine.runners)))
         before, after = self.engine.runners[runner_id], self.new_incarnation(runner_id)
         certain = [a for a in before.attempts.values() if a.ends_with_incarnation]
--- a/src/streamthread/scheduler/tests/test_restarts.py
+++ b/src/streamthread/scheduler/tests/test_restarts.py
@@ -68,7 +68,7 @@
 
 class TestRestartedRunner:
     def test_loses_the_runs_of_its_former_incarnation(self, cell: _Cell) -> None:
-        """The clock starts anew and says nothing about the runs that are listed."""
+        """The clock starts anew, so no list would be newer than the confirmations."""
         for attempt in cell.attempts:
             cell.confirm(attempt, 8_000)
         cell.list_runs(*cell.attempts)
@@ -164,7 +164,7 @@
     """Runs that the next holder reads back for a runner that has restarted."""
 
     def _read(self, cell: _Cell, born_ms: int | None) -> tuple[Engine, Job]:
-        """Return the next holder's job, with a runner incarnation born then."""
+        """Return the next holder's job, whose runner began at ``born_ms``."""
         engine = Engine(lambda job: None)
         job = decode_row(cell.job.job_id, encode_definition(cell.job))
         restore_progress(job, encode_progress(cell.job))
--- a/src/streamthread/scheduler/tests/test_stops.py
+++ b/src/streamthread/scheduler/tests/test_stops.py
@@ -112,7 +112,10 @@
         assert engine.take_stops() == [first]
 
     def test_is_sent_again_if_unlisted_and_unanswered(self) -> None:
-        """Its start may still arrive; until a stop is accepted, resources stay used."""
+        """Its start may still arrive.
+
+        Until a stop is accepted, the resources of the run stay reserved.
+        """
         engine, job = _engine_with_runs()
         first, _ = job.attempts()
         engine.cancel(job)
--- a/src/streamthread/scheduler/tests/test_unanswered_stops.py
+++ b/src/streamthread/scheduler/tests/test_unanswered_stops.py
@@ -1,7 +1,7 @@
 """Tests that a refused stop does not complete an earlier, unanswered one.
 
-The unanswered stop may be carried out seconds later. A run that continues in the
-meantime counts as running, and another run of its step may be stopped besides.
+The unanswered stop may be carried out seconds later. If its run counted as running in
+the meantime, another run of its step might be stopped as well.
 """
 
 import types
