--- a/src/streamthread/scheduler/codec.py
+++ b/src/streamthread/scheduler/codec.py
@@ -1,7 +1,8 @@
 """Encodes and decodes the two rows of a job: its submission and its progress.
 
-The first row is written at submission and rewritten while the job is over. Once the job
-has no runs left, only its end is persisted, so that the next holder has less to read.
+The first row is written at submission and rewritten at each change after the job is
+over. Once the job has no runs left, only its end is persisted, so that the next holder
+has less to read.
 
 The second row is rewritten at each change, so it is compact: for a step that has begun,
 one number encodes which tasks are done, and only tasks with more state than that have
