--- a/src/streamthread/scheduler/codec.py
+++ b/src/streamthread/scheduler/codec.py
@@ -1,7 +1,8 @@
 """Encodes and decodes the two rows of a job: its submission and its progress.
 
-The first row is written at submission and rewritten while the job is over. Once the job
-has no runs left, only its end is persisted, so that the next holder has less to read.
+The first row is written at submission and rewritten at each change after the job is
+over. Once the job has no runs left, only its end is persisted, so that the next holder
+has less to read.
 
 The second row is rewritten at each change, so it is compact: for a step that has begun,
 one number encodes which tasks are done, and only tasks with more state than that have
@@ -38,7 +39,7 @@
 
 
 def encode_definition(job: Job) -> bytes:
-    """Encode the submission; for a job that is over, only how it ended."""
+    """Encode the submission, or only how the job ended if it is over without runs."""
     if job.over and not job.has_attempts():
         return _encode_ended(job)
     value: dict[str, Json] = {
