--- a/src/streamthread/holder/admission.py
+++ b/src/streamthread/holder/admission.py
@@ -36,7 +36,7 @@
         return manifest.routes_by_name.get(name)
 
     def limit_of(self, account: str) -> Limit | None:
-        """Return the limit on an account's running tasks; None if it is unknown."""
+        """Return what an account may have running at once; None if it is unknown."""
         manifest = self.manifest
         return manifest.limit_of(account) if manifest is not None else None
 
@@ -55,7 +55,8 @@
             return ""
         if request.key_digest:
             return manifest.account_of(request.key_digest) or None
-        # The route was removed, or needs a key since the sender's version.
+        # The request has no key. The route was removed, or needs a key only since a
+        # newer version than the sender's.
         return "" if route is None else None
 
     def is_behind(
--- a/src/streamthread/holder/inbox.py
+++ b/src/streamthread/holder/inbox.py
@@ -32,9 +32,9 @@
 log = logbook.Logger("streamthread.holder")
 
 BEHIND_S = 2.0
-"""The inbox counts as outdated when its feed has not answered for longer. A call of the
-feed that gets no answer ends after 1.8 s, and the next one answers at once. A cancel
-in the inbox has to take effect within 3 s."""
+"""The inbox counts as outdated when its feed has not answered for longer than this. A
+call of the feed that gets no answer ends after 1.8 s, and the next one answers at once.
+A cancel in the inbox has to take effect within 3 s."""
 
 
 @attrs.frozen
@@ -202,7 +202,8 @@
         if before is not None:
             await asyncio.wait((before,))
             if before.cancelled() or before.exception() is not None:
-                # The store counts the reads that it refuses, too.
+                # The last read failed. The store also counts the reads that it
+                # refuses, so the next one is delayed.
                 await asyncio.sleep(RETRY_S)
         self._current_read, self._next_read = self._next_read, None
         self.take(await self._feed.look())
--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -116,7 +116,8 @@
     async def _find(self, job_id: str) -> Job | None:
         """Return a job; read the inbox before reporting that there is none.
 
-        The commits, which are retried anyway, wait for the end of a store outage.
+        If the lease may have expired, as in an outage of the store, this first waits
+        for a commit, since commits are retried anyway.
 
         :raises NotHolderError: the cell is lost.
         :raises StoreUnavailableError: the inbox can't be read.
@@ -142,7 +143,8 @@
         job_id = request.job_id
         job = await self._find(job_id)
         if job is None:
-            # A next holder may have removed jobs from the inbox that are unknown here.
+            # If another daemon holds the cell by now, it may have removed jobs from the
+            # inbox that are unknown here. A confirmed commit rules that out.
             await self._commits.confirmed()
             job = self._engine.jobs.get(job_id)
         if job is None:
@@ -284,7 +286,11 @@
         return pb.CallReply(outcome=pb.OK, state=job.state.value)
 
     async def _cancel_unknown(self, request: pb.CallRequest) -> pb.CallReply:
-        """Acknowledge an unknown job's cancel once it applies to later submissions."""
+        """Acknowledge an unknown job's cancel once it applies to later submissions.
+
+        The commit that persists the cancel begins after the inbox was read. If another
+        daemon had already taken the job out of the inbox, that commit would fail.
+        """
         job_id = request.job_id
         self._log_unknown_job(job_id, "call")
         cancel = Cancel(job_id, request.route, request.account)
--- a/src/streamthread/holder/pending_cancels.py
+++ b/src/streamthread/holder/pending_cancels.py
@@ -30,7 +30,7 @@
 
 
 def pending_cancel_key(cancel: Cancel) -> str:
-    """Return a cancel's key in the inbox; a repeated cancel has the same key."""
+    """Return a cancel's key in the inbox; a repeated cancel replaces the row."""
     caller = cancel.route
     if cancel.account:
         caller = f"{cancel.route}\n{cancel.account}"
@@ -45,9 +45,10 @@
     cancel, so that the clocks of other daemons don't matter. The next holder starts a
     new period.
 
-    :param retention_s: how long a cancel is retained. An ended job is retained, and
-        rejects submissions that arrive after its cancel, for no longer. Above
-        ``MAX_PENDING_CANCELS`` the oldest cancels are evicted sooner.
+    :param retention_s: how long a cancel is retained. The cancel of a known job does
+        not apply longer either: the ended job is retained for the same time, and
+        rejects later submissions only until then. Above ``MAX_PENDING_CANCELS`` the
+        oldest cancels are evicted sooner.
     """
 
     def __init__(self, retention_s: float) -> None:
--- a/src/streamthread/holder/submissions.py
+++ b/src/streamthread/holder/submissions.py
@@ -80,10 +80,11 @@
     def withdraw_if_overdue(self, may_accept: bool) -> int:
         """Withdraw the jobs that no transaction has carried, if commits are overdue.
 
-        :param may_accept: whether new jobs are accepted now.
+        :param may_accept: whether new jobs are accepted now; if not, the jobs are
+            withdrawn at once.
         :return: how many jobs were withdrawn.
         """
-        # Includes jobs whose callers gave up before the row was written.
+        # A job whose callers gave up before its row was written is still tracked.
         for job, _ in list(self._waiting.values()):
             self._forget_if_written(job)
         overdue_s = max(COMMIT_OVERDUE_S, OVERDUE_COMMITS * self._commits.commit_s)
