--- a/src/streamthread/holder/duties.py
+++ b/src/streamthread/holder/duties.py
@@ -38,7 +38,7 @@
 def in_flight_wait_s(alone_at_s: float, now_s: float) -> float:
     """Return for how long an earlier holder's orders may still reach the cloud.
 
-    The cloud does not reject them.
+    The cloud does not reject them, so the new holder orders nothing in that time.
 
     :param alone_at_s: on the boot clock; no earlier holder sends an order after it.
     :param now_s: on the same clock.
@@ -149,7 +149,10 @@
             self._begin_move(move)
 
     def _wanted_size(self, pool: str, targets: dict[str, int]) -> int:
-        """Return a pool's target size, plus one while a machine awaits its upkeep."""
+        """Return a pool's target size, plus one while a machine awaits its upkeep.
+
+        The additional machine replaces the one that goes into upkeep.
+        """
         target = targets.get(pool, 0)
         return target + 1 if self._waves.has_unordered_upkeep(pool) else target
 
--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -48,7 +48,7 @@
                 self._owner.kick()
 
     async def extend_while_commits_fail(self) -> None:
-        """Extend all runs as soon as commits fail; refuse overdue submissions."""
+        """Extend all runs when commits begin to fail; refuse overdue submissions."""
         failing = False
         while True:
             await asyncio.sleep(COMMIT_FAILURE_POLL_S)
--- a/src/streamthread/holder/listing.py
+++ b/src/streamthread/holder/listing.py
@@ -124,7 +124,7 @@
             self._on_entry(entry)
 
     def _is_named(self, pool: str) -> bool:
-        """Whether the configuration, if there is one, names a pool; else True."""
+        """Whether the configuration names a pool; True while there is none."""
         manifest = self._documents.manifest
         return manifest is None or pool in manifest.pools
 
--- a/src/streamthread/holder/queue.py
+++ b/src/streamthread/holder/queue.py
@@ -19,8 +19,8 @@
 """A scheduling pass runs at least this often, even without any event."""
 
 MIN_PAUSE_S = 0.004
-"""Minimum pause between two passes. Events that arrive within half the duration of a
-commit share a pass."""
+"""Minimum pause between two passes, about half the duration of a commit. Events that
+arrive during the pause share the next pass."""
 
 PAUSE_FACTOR = 4.0
 """The pause lasts this many times as long as the last pass, so that passes use at most
--- a/src/streamthread/holder/runner_manager.py
+++ b/src/streamthread/holder/runner_manager.py
@@ -111,7 +111,7 @@
             listed,
         )
         self._owner.links[runner.runner_id] = link
-        # Failures that one runner's answers cause don't release the cell.
+        # Unexpected answers of a single runner are no reason to release the cell.
         supervisor = LoopKeeper(context.failures, (NotHolderError,))
         self._owner.spawn(supervisor.keep("link", link.run))
         self._resend_orders(runner)
--- a/src/streamthread/holder/sizes.py
+++ b/src/streamthread/holder/sizes.py
@@ -70,8 +70,8 @@
         """Add a job's work to its pool's arrivals.
 
         The size of the machines determines how much work makes a burst. Jobs are
-        buffered until that size is known: a new holder records the jobs that were
-        submitted before it.
+        buffered until that size is known: a new holder also records the jobs that were
+        submitted before it acquired the cell.
 
         :param work: thousandths of a core times seconds.
         :param at_s: when it arrived, on the boot clock.
@@ -198,7 +198,10 @@
 
 
 def _with_lost_capacity(cpu: float, views: t.Collection[MachineView]) -> float:
-    """Return a pool's demand, plus capacity that its machines temporarily lack."""
+    """Return a pool's demand, plus capacity that its machines temporarily lack.
+
+    At most what they lack is added, and nothing if there is no demand.
+    """
     full = sum(view.cpu for view in views)
     lost = sum(view.cpu * view.lost_share for view in views)
     if not lost or lost >= full:
@@ -207,7 +210,7 @@
 
 
 def _long_running_cpu(jobs: t.Iterable[Job]) -> float:
-    """Return the cpu of all long-running tasks, in thousandths of a core."""
+    """Return the thousandths of a core that long-running tasks use all the time."""
     return float(
         sum(
             step.cpu * step.count
--- a/src/streamthread/holder/tests/test_cancels_by_queue.py
+++ b/src/streamthread/holder/tests/test_cancels_by_queue.py
@@ -1,7 +1,7 @@
 """A cancel at one queue does not cancel a job of another queue.
 
-A cancel of a known job is checked against the job's queue. One that arrives before the
-job, or through the inbox, must be checked as well.
+The failure: only a cancel that a caller sends for a known job is checked against the
+job's queue. One that arrives before the job, or through the inbox, is not checked.
 """
 
 import typing as t
--- a/src/streamthread/holder/tests/test_lease_validity.py
+++ b/src/streamthread/holder/tests/test_lease_validity.py
@@ -41,8 +41,8 @@
         assert _lease(2.0).idle_head_version == HEAD_VERSION
 
     async def test_is_not_reported_while_runs_may_be_extended(self) -> None:
-        """After a failed release others may acquire the cell, but runs are still
-        extended.
+        """While the store does not accept the release, others may acquire the cell,
+        but this holder still extends runs.
         """
         lease = _lease(0.0)
         lease.begin_release()
--- a/src/streamthread/holder/tests/test_machine_restarts.py
+++ b/src/streamthread/holder/tests/test_machine_restarts.py
@@ -56,7 +56,7 @@
 
 class TestDutyOfARestartedRunner:
     async def test_ends_with_the_next_incarnation_under_the_same_id(self) -> None:
-        """It does not wait as long as a duty that the cloud may never have begun."""
+        """It does not stay pending as long as one that the cloud may not have begun."""
         cell = _Cell()
         cell.table.reserve(MACHINE, DutyKind.UPKEEP, "desk")
         await cell.show(MachineState.UPKEEP)
