--- a/src/streamthread/holder/intake.py
+++ b/src/streamthread/holder/intake.py
@@ -352,13 +352,14 @@
         return job_id in self._engine.jobs
 
     def mark_acknowledged(self, job_id: str) -> None:
-        """Note that another daemon has acknowledged a job, which is then never
-        refused.
-        """
+        """Note that another daemon has acknowledged a job; it is then never refused."""
         self._engine.jobs[job_id].left_in_inbox = True
 
     def accept_from_inbox(self, entry: InboxEntry) -> bool:
-        """Accept a job; return False if its configuration is not known here yet."""
+        """Accept a job; return False if its configuration is not known here yet.
+
+        An excluded job returns False as well, so that its row stays in the inbox.
+        """
         if self.is_excluded(entry.job_id):
             return False
         route = self._admission.route(entry.route)
