--- a/src/streamthread/cell/acquisition.py
+++ b/src/streamthread/cell/acquisition.py
@@ -1,4 +1,4 @@
-"""Writes the owner of the cell to acquire it from the previous holder or release it."""
+"""Writes the owner row, to acquire the cell from another holder or to release it."""
 
 import asyncio
 import math
@@ -85,8 +85,8 @@
         owner = self._registry.owner
         if not await self._may_acquire(suspicion, owner, suspected_at_s):
             return None
-        # A daemon that acquires the cell from here on changes the row, so that this
-        # attempt fails.
+        # Another daemon that acquires the cell from here on changes the row, so that
+        # this attempt fails.
         seen_version = self._registry.version
         await asyncio.sleep(self._get_delay_s(suspicion, owner))
         if self._registry.owner is not owner or self._stopping():
@@ -121,7 +121,7 @@
         return slow and now_s - suspected_at_s < self._times.slow_patience_s
 
     async def _has_recovered(self, owner: Owner | None) -> bool:
-        """Whether the holder commits again because the store serves all daemons."""
+        """Whether the holder commits again, because the store serves all daemons."""
         if owner is None or not await self._peers.can_commit(
             owner.address, owner.token
         ):
@@ -140,7 +140,8 @@
         began_at_s = boot_s()
         version = await self._write_owner(mine, seen_version, stalled_commits)
         if version is None and stalled_commits is not None:
-            # The holder has committed since, or its last commit was never confirmed.
+            # The holder has committed since, or its last commit took effect but was
+            # never confirmed to it, so that it reported an older version.
             stalled_commits = None
             began_at_s = boot_s()
             version = await self._write_owner(mine, seen_version)
--- a/src/streamthread/cell/acquisition_delay.py
+++ b/src/streamthread/cell/acquisition_delay.py
@@ -1,4 +1,4 @@
-"""The delay after which a daemon acquires a cell, which favors better candidates."""
+"""Delays a daemon's acquisition of a cell so that better candidates go first."""
 
 import random
 
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -29,11 +29,11 @@
 log = logbook.Logger("streamthread.cell")
 
 RECHECK_S = 0.05
-"""Pause before a holder without suspicion is followed again."""
+"""Pause before following a holder again that is not suspected."""
 
 
 class CellLease(Service):
-    """Follows the cell's holder, and acquires the cell when the holder has failed.
+    """Follows the cell's holder, and acquires the cell if it fails or releases it.
 
     :param cores: the CPU cores of this daemon; the holder uses more CPU than followers.
     :param on_acquired: called with the acquired cell; returns when the cell is lost.
--- a/src/streamthread/cell/times.py
+++ b/src/streamthread/cell/times.py
@@ -35,9 +35,9 @@
         store that is 60 times slower, and no other holder would be faster there.
     :param most_doubt_s: the upper limit of this time, however slow earlier commits
         were.
-    :param silence_margin_s: how much longer than the last lease term, on its own clock,
-        a follower waits after the commits have stalled, so that the old holder has
-        stopped by then.
+    :param silence_margin_s: a follower acquires the cell once the commits have stalled
+        for the last lease term plus this margin, measured on its own clock, so that the
+        old holder has stopped by then.
     :param beat_s: interval between the holder's heartbeats to its followers.
     :param beat_lost_s: a follower checks the store after this time without a heartbeat.
     :param renew_s: the maximum interval between a holder's commits.
@@ -50,7 +50,7 @@
     :param slow_read_s: a follower regards the store as slow if a read takes longer. A
         read usually takes 7 ms, and 0.25 s in a store that is 60 times slower.
     :param slow_patience_s: how long a holder that cannot commit keeps the cell while
-        the store is slow; about as long as a hold call extends its runs.
+        the store is slow; about as long as a hold call extends a runner's runs.
     :param retry_s: pause after a failed acquisition from a holder that cannot commit.
     :param feed_wait_s: how long one call of a feed waits for a change. A call that was
         sent just before an outage ends after this time plus 0.8 s.
@@ -75,7 +75,7 @@
 
     @property
     def max_validity_s(self) -> float:
-        """How long the lease can be valid after a commit of unknown term."""
+        """How long a lease of unknown term can be valid, even on the slowest clock."""
         return on_slowest_clock_s(self.most_trust_s)
 
     def term_s(self, commit_s: float) -> float:
--- a/src/streamthread/cell/watch.py
+++ b/src/streamthread/cell/watch.py
@@ -142,7 +142,11 @@
 
     @staticmethod
     def _stalled_commits(head: _HeadState, seen_at_s: float) -> StalledCommits:
-        """Return when a holder sends no more orders if its head row stays unchanged."""
+        """Return the evidence that a holder's commits have stalled.
+
+        While its head row stays unchanged, the holder sends no orders once the last
+        lease term has passed on the slowest clock since the row was seen.
+        """
         return StalledCommits(head.version, seen_at_s + on_slowest_clock_s(head.term_s))
 
     async def confirm_silent(self) -> Suspicion:
