--- a/src/streamthread/cell/commits.py
+++ b/src/streamthread/cell/commits.py
@@ -47,7 +47,7 @@
 
 RETRY_MAX_S = 0.2
 """Maximum backoff. Once the store serves the followers again, they give a holder that
-reported failing commits 0.25 s to commit."""
+reported failing commits 0.25 s to commit, so it must try again within that time."""
 
 
 @attrs.frozen
@@ -82,7 +82,7 @@
     ) -> None:
         self._times = times or LeaseTimes()
         self._confirmed_term_s = self._times.trust_s
-        # The shortest term that a try of the current commit has written.
+        # The shortest term that a try of the current commit has sent.
         self._sent_term_s = math.inf
         # When the try that took effect was sent, or else the last try.
         self._effective_at_s = confirmed_at_s
@@ -116,7 +116,8 @@
     def unmark(self, table: str, key: str) -> bool:
         """Cancel the writing of a row.
 
-        :return: true if no transaction has carried the change or will carry it.
+        :return: true if the row was marked and no transaction has carried or will carry
+            its change.
         """
         if (table, key) in self._in_flight:
             return False
@@ -172,9 +173,9 @@
     async def written(self, table: str, key: str) -> None:
         """Return once the latest marked value of a row is durable.
 
-        Rows that were marked at the same time may not be durable yet: :meth:`flushed`
-        waits for one more commit while one is in flight, and in a slow store other
-        tasks mark rows all the time.
+        Other marked rows may not be durable by then. :meth:`flushed` can take longer:
+        it waits for one more commit if rows were marked while one is in flight, and in
+        a slow store other tasks mark rows all the time.
 
         :raises NotHolderError: the cell is lost; the row may be durable.
         """
--- a/src/streamthread/cell/members.py
+++ b/src/streamthread/cell/members.py
@@ -109,7 +109,7 @@
         self._on_owner_update(announcement.owner)
 
     def announcement(self, owner: pb.OwnerNews) -> pb.Announcement:
-        """Return the announcement of this daemon and the holder for the peers."""
+        """Return this daemon's announcement, which also names the holder."""
         return pb.Announcement(
             daemon_id=self._daemon_id,
             address=self._peers.address,
--- a/src/streamthread/cell/owner_registry.py
+++ b/src/streamthread/cell/owner_registry.py
@@ -38,7 +38,7 @@
     token.
 
     :param changed: set when another owner is known.
-    :param known: set once the store has returned the owner, or that there is none.
+    :param known: set once the store has returned the owner or has none.
     :param version: the version of the owner row; it is outdated if the current owner
         was reported by a peer.
     :param on_changed: called with each new owner.
--- a/src/streamthread/cell/peer.py
+++ b/src/streamthread/cell/peer.py
@@ -102,7 +102,7 @@
         await stream.send_message(self._announced(request))
 
     async def Explain(self, stream: t.Any) -> None:  # noqa: N802
-        """Answer a question about the placement or state of an object."""
+        """Explain the state of a job, the client accounts or the holder."""
         request = await stream.recv_message()
         await stream.send_message(self._explain(request))
 
@@ -187,7 +187,7 @@
     async def explain(
         self, address: str, request: pb.ExplainRequest
     ) -> pb.ExplainReply:
-        """Ask the holder a question about the placement or state of an object.
+        """Ask the holder to explain the state of a job, the accounts or itself.
 
         :raises PeerUnavailableError: no answer.
         """
--- a/src/streamthread/cell/tests/test_commits.py
+++ b/src/streamthread/cell/tests/test_commits.py
@@ -68,7 +68,10 @@
 
 
 class _Store:
-    """Blocks each commit until a test allows it; can reject it for another holder."""
+    """Blocks each commit until a test lets it continue.
+
+    The commit is rejected if ``acquired`` is set: another daemon holds the cell then.
+    """
 
     def __init__(self) -> None:
         self.commits = 0
