--- a/src/streamthread/runners/batching.py
+++ b/src/streamthread/runners/batching.py
@@ -14,8 +14,8 @@
 0.4 ms of CPU time, an eighth of a core in total."""
 
 SKIPPED_PAUSE_S = 0.05
-"""Subtracted from each pause; shorter pauses are skipped, because only a few runners
-are called then."""
+"""Subtracted from each pause, so that a runner is called again at once while only a few
+runners are busy."""
 
 MAX_PAUSE_S = 0.5
 """Upper limit for any number of busy runners. It is well below the 3.2 s for which a
