--- a/src/streamthread/requests/dispatch.py
+++ b/src/streamthread/requests/dispatch.py
@@ -29,7 +29,7 @@
 """The HTTP client takes a total of zero as no limit at all."""
 
 
-MOST_LOST = 2
+MAX_LOST_ANSWERS = 2
 """A request under which so many upstreams broke is not sent to a third: it may be what
 broke them. With the retry budget alone, one such request broke eleven."""
 
@@ -99,7 +99,7 @@
 
     def _may_send_again(self, call: Call, lost_count: int) -> bool:
         """Whether a request may go to one more upstream after answers were lost."""
-        if not call.repeat_safe or lost_count >= MOST_LOST:
+        if not call.repeat_safe or lost_count >= MAX_LOST_ANSWERS:
             return False
         return self._retries.take()
 
--- a/tools/guards_entry.py
+++ b/tools/guards_entry.py
@@ -119,8 +119,8 @@
     Guard(
         "unsafe-is-not-resent",
         "requests/dispatch.py",
-        "if not call.repeat_safe or lost_count >= MOST_LOST:",
-        "if lost_count >= MOST_LOST:",
+        "if not call.repeat_safe or lost_count >= MAX_LOST_ANSWERS:",
+        "if lost_count >= MAX_LOST_ANSWERS:",
         (f"{REQUESTS}::TestAtMostOnce",),
     ),
     Guard(
@@ -201,7 +201,7 @@
     Guard(
         "lost-answers-are-bounded",
         "requests/dispatch.py",
-        "if not call.repeat_safe or lost_count >= MOST_LOST:",
+        "if not call.repeat_safe or lost_count >= MAX_LOST_ANSWERS:",
         "if not call.repeat_safe:",
         ("src/streamthread/requests/tests/test_lost_upstreams.py",),
     ),
