--- a/src/streamthread/requests/__init__.py
+++ b/src/streamthread/requests/__init__.py
@@ -11,7 +11,7 @@
 from .router import Router
 from .router import Slot
 from .service import RequestService
-from .shares import Borrowing
+from .shares import BorrowingBackoff
 from .shares import own_slots
 from .slots import SlotQueue
 from .sweeper import ClaimSweeper
@@ -22,7 +22,7 @@
 from .upstreams import UpstreamHealth
 
 __all__ = [
-    "Borrowing",
+    "BorrowingBackoff",
     "Choice",
     "Claim",
     "ClaimService",
--- a/src/streamthread/requests/answers.py
+++ b/src/streamthread/requests/answers.py
@@ -14,10 +14,10 @@
 from .outcomes import OUTCOME_HEADER
 from .parse import Call
 
-__all__ = ["KeptAnswer", "pass_on"]
+__all__ = ["RecordedAnswer", "relay_answer"]
 
 CHUNK_BYTES = 64 * 1024
-KEPT_ANSWER_BYTES = 4096
+MAX_RECORDED_BYTES = 4096
 
 _DROPPED_HEADERS = frozenset(
     {
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class KeptAnswer:
+class RecordedAnswer:
     """A small answer, kept so that a repeated key gets it again."""
 
     began: bool = False
@@ -54,26 +54,26 @@
 
     def add(self, chunk: bytes) -> None:
         """Note a part of the body, as long as it is small."""
-        if len(self.body) <= KEPT_ANSWER_BYTES:
+        if len(self.body) <= MAX_RECORDED_BYTES:
             self.body += chunk
 
-    def concluded(self, claim: Claim) -> Claim:
+    def final_claim(self, claim: Claim) -> Claim:
         """Return the claim's row after the answer."""
-        kept = self.complete and len(self.body) <= KEPT_ANSWER_BYTES
+        is_recorded = self.complete and len(self.body) <= MAX_RECORDED_BYTES
         return attrs.evolve(
             claim,
             state=ClaimState.DONE if self.began else ClaimState.UNKNOWN,
             status=self.status,
             content_type=self.content_type,
-            body_hex=self.body.hex() if kept else None,
+            body_hex=self.body.hex() if is_recorded else None,
         )
 
 
-async def pass_on(
+async def relay_answer(
     request: web.Request,
     reply: aiohttp.ClientResponse,
     call: Call,
-    answer: KeptAnswer | None,
+    answer: RecordedAnswer | None,
     close: bool,
 ) -> web.StreamResponse:
     """Pass an answer on as it comes; one that breaks off never ends clean.
@@ -84,7 +84,7 @@
     :param answer: keeps a copy, if given.
     :param close: whether the caller's connection ends with it.
     """
-    response = _head(reply)
+    response = _response_head(reply)
     if close:
         response.force_close()
     if answer is not None:
@@ -106,7 +106,7 @@
     return response
 
 
-def _head(reply: aiohttp.ClientResponse) -> web.StreamResponse:
+def _response_head(reply: aiohttp.ClientResponse) -> web.StreamResponse:
     response = web.StreamResponse(status=reply.status)
     for name, value in reply.headers.items():
         if name.lower() not in _DROPPED_HEADERS:
--- a/src/streamthread/requests/at_most_once.py
+++ b/src/streamthread/requests/at_most_once.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from ..errors import StoreUnavailableError
-from .answers import KeptAnswer
+from .answers import RecordedAnswer
 from .claims import Claim
 from .claims import claim_key
 from .claims import ClaimResult
@@ -45,19 +45,19 @@
         claim = Claim(call.digest(), self._daemon_id, time.time())
         result = await self._claim(key, claim, call)
         if result.existing is not None:
-            return _answer_from(result.existing, claim)
+            return _answer_repeated_key(result.existing, claim)
         claim = attrs.evolve(claim, state=ClaimState.UNKNOWN)
         try:
-            answer = KeptAnswer()
+            answer = RecordedAnswer()
             response = await self._dispatcher.dispatch(request, call, answer)
-            claim = answer.concluded(claim)
+            claim = answer.final_claim(claim)
             return response
         except Problem as problem:
             state = ClaimState(problem.outcome.value)
             claim = attrs.evolve(claim, state=state)
             raise
         finally:
-            self._claims.conclude(key, claim, result.version)
+            self._claims.record_outcome(key, claim, result.version)
 
     async def _claim(self, key: str, claim: Claim, call: Call) -> ClaimResult:
         try:
@@ -75,9 +75,9 @@
             ) from error
 
 
-def _answer_from(existing: Claim, asked: Claim) -> web.Response:
+def _answer_repeated_key(existing: Claim, requested: Claim) -> web.Response:
     """Answer a repeated key with the state of the first request."""
-    if existing.digest != asked.digest:
+    if existing.digest != requested.digest:
         raise Problem(
             status=422,
             kind="key-reused",
@@ -86,7 +86,7 @@
             outcome=Outcome.NOT_RUN,
         )
     if existing.state is ClaimState.DONE and existing.body_hex is not None:
-        return _replayed(existing, existing.body_hex)
+        return _replayed_response(existing, existing.body_hex)
     done = existing.state is ClaimState.DONE
     raise Problem(
         status=409,
@@ -98,7 +98,7 @@
     )
 
 
-def _replayed(existing: Claim, body_hex: str) -> web.Response:
+def _replayed_response(existing: Claim, body_hex: str) -> web.Response:
     """Return the kept answer of the first request again."""
     return web.Response(
         status=existing.status,
--- a/src/streamthread/requests/claims.py
+++ b/src/streamthread/requests/claims.py
@@ -35,8 +35,8 @@
     "claim_key",
 ]
 
-OUTCOMES_KEPT = 20_000
-REFUSED_PAUSE_S = 0.5
+MAX_PENDING_OUTCOMES = 20_000
+FAILED_COMMIT_PAUSE_S = 0.5
 """How long one of the parallel commits rests after the store refused."""
 
 
@@ -92,7 +92,7 @@
 
 
 @attrs.define
-class _Waiting:
+class _PendingWrite:
     key: str
     claim: Claim
     version: int
@@ -125,10 +125,10 @@
         self._committer = committer
         self._settings = settings
         self._daemon_count = daemon_count
-        self._claims: collections.deque[_Waiting] = collections.deque()
-        self._outcomes: collections.deque[_Waiting] = collections.deque()
+        self._claims: collections.deque[_PendingWrite] = collections.deque()
+        self._outcomes: collections.deque[_PendingWrite] = collections.deque()
         self._wake = asyncio.Event()
-        self._slots = asyncio.Semaphore(settings.parallel_commits)
+        self._commit_slots = asyncio.Semaphore(settings.parallel_commits)
         self._next_commit_s = 0.0
 
     async def claim(self, key: str, claim: Claim) -> ClaimResult:
@@ -139,19 +139,19 @@
         :raises StoreUnavailableError: the key was not claimed.
         """
         done: asyncio.Future[ClaimResult] = asyncio.get_running_loop().create_future()
-        self._claims.append(_Waiting(key, claim, ABSENT, done))
+        self._claims.append(_PendingWrite(key, claim, ABSENT, done))
         self._wake.set()
         return await done
 
-    def conclude(self, key: str, claim: Claim, version: int) -> None:
+    def record_outcome(self, key: str, claim: Claim, version: int) -> None:
         """Write the outcome of a claim with one of the next commits.
 
         :param version: of the row that it replaces.
         """
-        if len(self._outcomes) >= OUTCOMES_KEPT:
+        if len(self._outcomes) >= MAX_PENDING_OUTCOMES:
             self._outcomes.popleft()
             self.outcomes_dropped += 1
-        self._outcomes.append(_Waiting(key, claim, version, None))
+        self._outcomes.append(_PendingWrite(key, claim, version, None))
         self._wake.set()
 
     @property
@@ -160,133 +160,135 @@
         return len(self._outcomes)
 
     @Service.task
-    async def _commit_groups(self) -> None:
+    async def _commit_batches(self) -> None:
         while not self.should_stop:
             await self._wake.wait()
-            await self._keep_pace()
-            await self._slots.acquire()
-            group = self._next_group()
-            if group:
-                self.add_future(self._commit_and_free(group))
+            await self._limit_commit_rate()
+            await self._commit_slots.acquire()
+            batch = self._next_batch()
+            if batch:
+                self.add_future(self._commit_and_release(batch))
             else:
-                self._slots.release()
+                self._commit_slots.release()
                 self._wake.clear()
 
-    async def _keep_pace(self) -> None:
+    async def _limit_commit_rate(self) -> None:
         """Space the commits so that all daemons stay inside the writes."""
         now_s = boot_s()
         wait_s = self._next_commit_s - now_s
-        gap_s = self._daemon_count() / self._settings.writes_per_s
-        self._next_commit_s = max(now_s, self._next_commit_s) + gap_s
+        interval_s = self._daemon_count() / self._settings.writes_per_s
+        self._next_commit_s = max(now_s, self._next_commit_s) + interval_s
         if wait_s > 0:
             await asyncio.sleep(wait_s)
 
-    def _next_group(self) -> list[_Waiting]:
-        group: list[_Waiting] = []
+    def _next_batch(self) -> list[_PendingWrite]:
+        batch: list[_PendingWrite] = []
         keys: set[str] = set()
         for queue in (self._claims, self._outcomes):
-            while queue and len(group) < MAX_ROWS_PER_TRANSACTION:
+            while queue and len(batch) < MAX_ROWS_PER_TRANSACTION:
                 if queue[0].key in keys:
                     break
-                waiting = queue.popleft()
-                if waiting.done is not None and waiting.done.done():
+                pending = queue.popleft()
+                if pending.done is not None and pending.done.done():
                     continue
-                keys.add(waiting.key)
-                group.append(waiting)
-        return group
+                keys.add(pending.key)
+                batch.append(pending)
+        return batch
 
-    async def _commit_and_free(self, group: list[_Waiting]) -> None:
+    async def _commit_and_release(self, batch: list[_PendingWrite]) -> None:
         try:
-            await self._commit(group)
+            await self._commit(batch)
         finally:
-            self._slots.release()
+            self._commit_slots.release()
             if self._claims or self._outcomes:
                 self._wake.set()
 
-    async def _commit(self, group: list[_Waiting]) -> None:
-        while group:
+    async def _commit(self, batch: list[_PendingWrite]) -> None:
+        while batch:
             self.commits += 1
-            transaction = Transaction(tuple(_write(waiting) for waiting in group))
+            transaction = Transaction(tuple(_write(pending) for pending in batch))
             try:
                 result = await self._committer.commit(
                     transaction, self._settings.give_up_s
                 )
             except StreamthreadError as error:
-                await self._refuse(group, error)
+                await self._fail_batch(batch, error)
                 return
             if result.outcome is CommitOutcome.COMMITTED:
-                self._succeed(group)
+                self._resolve_committed(batch)
                 return
             if result.outcome is CommitOutcome.UNKNOWN:
-                await self._refuse(group, _lost_answer())
-                self._withdraw_all(group)
+                await self._fail_batch(batch, _reply_lost_error())
+                self._mark_all_not_run(batch)
                 return
-            group = await self._without_conflicts(group, result.conflicting_keys)
+            batch = await self._resolve_conflicts(batch, result.conflicting_keys)
 
-    def _succeed(self, group: list[_Waiting]) -> None:
-        for waiting in group:
-            if waiting.done is None:
+    def _resolve_committed(self, batch: list[_PendingWrite]) -> None:
+        for pending in batch:
+            if pending.done is None:
                 continue
-            if waiting.done.done():
-                self._withdraw(waiting)
+            if pending.done.done():
+                self._mark_not_run(pending)
             else:
-                waiting.done.set_result(ClaimResult(None, waiting.version + 1))
+                pending.done.set_result(ClaimResult(None, pending.version + 1))
 
-    def _withdraw_all(self, group: list[_Waiting]) -> None:
-        for waiting in group:
-            if waiting.done is not None:
-                self._withdraw(waiting)
+    def _mark_all_not_run(self, batch: list[_PendingWrite]) -> None:
+        for pending in batch:
+            if pending.done is not None:
+                self._mark_not_run(pending)
 
-    def _withdraw(self, waiting: _Waiting) -> None:
+    def _mark_not_run(self, pending: _PendingWrite) -> None:
         """Mark a key not-run whose request has stopped waiting for it."""
-        claim = attrs.evolve(waiting.claim, state=ClaimState.NOT_RUN)
-        self.conclude(waiting.key, claim, waiting.version + 1)
-
-    async def _refuse(self, group: list[_Waiting], error: StreamthreadError) -> None:
-        for waiting in group:
-            if waiting.done is None:
-                self.conclude(waiting.key, waiting.claim, waiting.version)
-            elif not waiting.done.done():
-                waiting.done.set_exception(error)
-        await asyncio.sleep(REFUSED_PAUSE_S)
-
-    async def _without_conflicts(
-        self, group: list[_Waiting], keys: t.Collection[str]
-    ) -> list[_Waiting]:
+        claim = attrs.evolve(pending.claim, state=ClaimState.NOT_RUN)
+        self.record_outcome(pending.key, claim, pending.version + 1)
+
+    async def _fail_batch(
+        self, batch: list[_PendingWrite], error: StreamthreadError
+    ) -> None:
+        for pending in batch:
+            if pending.done is None:
+                self.record_outcome(pending.key, pending.claim, pending.version)
+            elif not pending.done.done():
+                pending.done.set_exception(error)
+        await asyncio.sleep(FAILED_COMMIT_PAUSE_S)
+
+    async def _resolve_conflicts(
+        self, batch: list[_PendingWrite], keys: t.Collection[str]
+    ) -> list[_PendingWrite]:
         """Answer those whose keys are taken; return the others."""
         try:
             rows = await self._tables.get(list(keys))
         except StoreUnavailableError as error:
-            await self._refuse(group, error)
+            await self._fail_batch(batch, error)
             return []
-        kept: list[_Waiting] = []
-        for waiting in group:
-            if waiting.key not in keys:
-                kept.append(waiting)
-            elif waiting.done is not None and not waiting.done.done():
-                again = _answer_taken(waiting, rows.get(waiting.key))
-                kept.extend(again)
-        return kept
+        remaining: list[_PendingWrite] = []
+        for pending in batch:
+            if pending.key not in keys:
+                remaining.append(pending)
+            elif pending.done is not None and not pending.done.done():
+                retryable = _resolve_taken_key(pending, rows.get(pending.key))
+                remaining.extend(retryable)
+        return remaining
 
 
-def _answer_taken(waiting: _Waiting, row: Row | None) -> list[_Waiting]:
+def _resolve_taken_key(pending: _PendingWrite, row: Row | None) -> list[_PendingWrite]:
     """Answer with the claim there is; one that was not run may be taken over."""
     if row is None:
-        return [waiting]
+        return [pending]
     claim = cattrs.structure(row.value, Claim)
-    if claim.state is ClaimState.NOT_RUN and claim.digest == waiting.claim.digest:
-        waiting.version = row.version
-        return [waiting]
-    assert waiting.done is not None
-    waiting.done.set_result(ClaimResult(claim, row.version))
+    if claim.state is ClaimState.NOT_RUN and claim.digest == pending.claim.digest:
+        pending.version = row.version
+        return [pending]
+    assert pending.done is not None
+    pending.done.set_result(ClaimResult(claim, row.version))
     return []
 
 
-def _write(waiting: _Waiting) -> Write:
-    return Write(waiting.key, cattrs.unstructure(waiting.claim), waiting.version)
+def _write(pending: _PendingWrite) -> Write:
+    return Write(pending.key, cattrs.unstructure(pending.claim), pending.version)
 
 
-def _lost_answer() -> StoreUnavailableError:
+def _reply_lost_error() -> StoreUnavailableError:
     return StoreUnavailableError(
         "the store's answer about the key was lost",
         remedy="the request was not run; send it again with the same key",
--- a/src/streamthread/requests/directory.py
+++ b/src/streamthread/requests/directory.py
@@ -24,7 +24,7 @@
     spec: ServiceSpec
     view_version: int
     catalog_version: int
-    marks: int
+    mark_count: int
     entries: tuple[str, ...]
 
 
@@ -50,40 +50,40 @@
         views: PoolViews,
         entries: t.Callable[[], tuple[str, ...]],
     ) -> None:
-        self.healths: dict[str, UpstreamHealth] = {}
+        self.health_by_id: dict[str, UpstreamHealth] = {}
         """By instance id; an upstream that was listed once keeps its entry."""
         self._entry = entry
         self._catalog = catalog
         self._views = views
         self._entries = entries
         self._listings: dict[str, _Listing] = {}
-        self._marks = 0
+        self._mark_count = 0
 
     def health(self, upstream: Upstream) -> UpstreamHealth:
         """Return the health of an upstream that was listed."""
-        return self.healths[upstream.instance_id]
+        return self.health_by_id[upstream.instance_id]
 
     def note_leaving(self, instance_id: str, boot: int) -> None:
         """Leave an instance out until it has booted anew."""
-        health = self.healths.setdefault(instance_id, UpstreamHealth())
+        health = self.health_by_id.setdefault(instance_id, UpstreamHealth())
         health.left_boot = max(health.left_boot, boot)
-        self._marks += 1
+        self._mark_count += 1
 
-    def of(self, spec: ServiceSpec) -> list[Upstream]:
+    def upstreams_for(self, spec: ServiceSpec) -> list[Upstream]:
         """Return the upstreams that may take new work for a service."""
         view = self._views.view(spec.pool)
         if view is None:
             return []
         inputs = _Inputs(
-            spec, view.version, self._catalog.version, self._marks, self._entries()
+            spec, view.version, self._catalog.version, self._mark_count, self._entries()
         )
         listing = self._listings.get(spec.pool)
         if listing is None or listing.inputs != inputs:
-            listing = _Listing(inputs, self._find(spec, view, inputs.entries))
+            listing = _Listing(inputs, self._list_upstreams(spec, view, inputs.entries))
             self._listings[spec.pool] = listing
         return listing.upstreams
 
-    def _find(
+    def _list_upstreams(
         self, spec: ServiceSpec, view: PoolView, entries: tuple[str, ...]
     ) -> list[Upstream]:
         limit = min(
@@ -98,7 +98,7 @@
             tuple(sorted(serving)), spec.slots_per_instance, entries, self._entry
         )
         return [
-            self._upstream(instance_id, max(1, limit), own.get(instance_id, 0))
+            self._make_upstream(instance_id, max(1, limit), own.get(instance_id, 0))
             for instance_id in serving
         ]
 
@@ -106,12 +106,12 @@
         instance = self._catalog.instances.get(instance_id)
         if instance is None or not instance.address:
             return False
-        health = self.healths.setdefault(instance_id, UpstreamHealth())
+        health = self.health_by_id.setdefault(instance_id, UpstreamHealth())
         if instance.status is not InstanceStatus.LIVE:
             return False
         return health.left_boot < instance.boot
 
-    def _upstream(self, instance_id: str, limit: int, own: int) -> Upstream:
+    def _make_upstream(self, instance_id: str, limit: int, own: int) -> Upstream:
         instance = self._catalog.instances[instance_id]
         return Upstream(
             instance_id, instance.address, instance.hall, instance.boot, limit, own
--- a/src/streamthread/requests/dispatch.py
+++ b/src/streamthread/requests/dispatch.py
@@ -7,8 +7,8 @@
 from aiohttp import web
 
 from ..clocks import boot_s
-from .answers import KeptAnswer
-from .answers import pass_on
+from .answers import RecordedAnswer
+from .answers import relay_answer
 from .outcomes import DEADLINE_HEADER
 from .outcomes import IDEMPOTENCY_HEADER
 from .outcomes import LEAVING_HEADER
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT_S = 1.0
 """An upstream that does not accept a connection for so long is passed over."""
 
-LEAST_TIMEOUT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 """The HTTP client takes a total of zero as no limit at all."""
 
 
@@ -38,7 +38,7 @@
     """The upstream certainly did not start the request; another may take it."""
 
 
-class _LostError(Exception):
+class _AnswerLostError(Exception):
     """Bytes went out and no answer began; it may have run."""
 
 
@@ -67,7 +67,7 @@
             await self._session.close()
 
     async def dispatch(
-        self, request: web.Request, call: Call, answer: KeptAnswer | None = None
+        self, request: web.Request, call: Call, answer: RecordedAnswer | None = None
     ) -> web.StreamResponse:
         """Try upstreams until one has the request; then stay with it.
 
@@ -78,37 +78,37 @@
         """
         self._retries.note_request()
         tried: set[str] = set()
-        lost: _LostError | None = None
+        lost: _AnswerLostError | None = None
         lost_count = 0
-        again = False
+        is_retry = False
         while True:
-            slot = await self._acquire(call, tried, again, lost)
+            slot = await self._acquire(call, tried, is_retry, lost)
             try:
                 return await self._send(request, call, slot, answer)
             except _NotStartedError:
                 tried.add(slot.upstream.instance_id)
-            except _LostError as error:
+            except _AnswerLostError as error:
                 lost_count += 1
-                if not self._may_send_again(call, lost_count):
+                if not self._may_retry(call, lost_count):
                     raise _lost_problem(error) from error
                 lost = error
                 tried.add(slot.upstream.instance_id)
             finally:
                 self._router.release(slot)
-            again = True
+            is_retry = True
 
-    def _may_send_again(self, call: Call, lost_count: int) -> bool:
+    def _may_retry(self, call: Call, lost_count: int) -> bool:
         """Whether a request may go to one more upstream after answers were lost."""
         if not call.repeat_safe or lost_count >= MAX_LOST_ANSWERS:
             return False
-        return self._retries.take()
+        return self._retries.try_spend()
 
     async def _acquire(
-        self, call: Call, tried: set[str], again: bool, lost: _LostError | None
+        self, call: Call, tried: set[str], is_retry: bool, lost: _AnswerLostError | None
     ) -> Slot:
         try:
             return await self._router.acquire(
-                call.service, call.spec, call.deadline_at_s, tried, again, call.team
+                call.service, call.spec, call.deadline_at_s, tried, is_retry, call.team
             )
         except Problem as problem:
             if lost is not None:
@@ -120,16 +120,16 @@
         request: web.Request,
         call: Call,
         slot: Slot,
-        answer: KeptAnswer | None,
+        answer: RecordedAnswer | None,
     ) -> web.StreamResponse:
         began = False
         sent_at_s = boot_s()
         try:
             async with self._exchange(call, slot) as reply:
-                self._note_signs(slot, reply)
+                self._note_reply_headers(slot, reply)
                 began = True
                 close = self._is_stopping()
-                response = await pass_on(request, reply, call, answer, close)
+                response = await relay_answer(request, reply, call, answer, close)
                 self._router.note_success(slot, boot_s() - sent_at_s)
                 return response
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
@@ -139,7 +139,7 @@
             if began:
                 raise
             self._router.note_failure(slot.upstream, repr(error))
-            raise _LostError(repr(error)) from error
+            raise _AnswerLostError(repr(error)) from error
 
     def _exchange(
         self, call: Call, slot: Slot
@@ -148,7 +148,7 @@
         assert self._session is not None
         left_s = call.left_s()
         timeout = aiohttp.ClientTimeout(
-            total=max(LEAST_TIMEOUT_S, left_s), sock_connect=CONNECT_TIMEOUT_S
+            total=max(MIN_TIMEOUT_S, left_s), sock_connect=CONNECT_TIMEOUT_S
         )
         return self._session.request(
             call.method,
@@ -159,7 +159,7 @@
             allow_redirects=False,
         )
 
-    def _note_signs(self, slot: Slot, reply: aiohttp.ClientResponse) -> None:
+    def _note_reply_headers(self, slot: Slot, reply: aiohttp.ClientResponse) -> None:
         """Act on what an upstream says of itself.
 
         :raises _NotStartedError: it says that it did not start the request.
--- a/src/streamthread/requests/parse.py
+++ b/src/streamthread/requests/parse.py
@@ -18,7 +18,7 @@
 from .outcomes import Problem
 from .outcomes import REPEAT_HEADER
 
-__all__ = ["Call", "Callers", "parse_call"]
+__all__ = ["Call", "TokenAuthenticator", "parse_call"]
 
 MAX_BODY_BYTES = 1024 * 1024
 MAX_KEY_LENGTH = 200
@@ -54,7 +54,7 @@
         return self.deadline_at_s - boot_s()
 
 
-class Callers:
+class TokenAuthenticator:
     """Knows the teams by their tokens, as the configuration has them."""
 
     def __init__(self, configuration: ConfigurationService) -> None:
@@ -87,7 +87,7 @@
 
 
 async def parse_call(
-    request: web.Request, active: ActiveConfiguration, callers: Callers
+    request: web.Request, active: ActiveConfiguration, authenticator: TokenAuthenticator
 ) -> Call:
     """Check a request and read its body.
 
@@ -97,7 +97,7 @@
     spec = active.spec(f"service/{service}", ServiceSpec)
     if spec is None:
         raise _refusal(404, "no-such-service", f"there is no service {service!r}")
-    team = callers.team_of(request)
+    team = authenticator.team_of(request)
     deadline_s = _deadline_s(request, spec)
     repeat_safe = _is_repeat_safe(request, spec)
     key = request.headers.get(IDEMPOTENCY_HEADER, "")
@@ -133,17 +133,17 @@
     if text is None:
         return spec.deadline_s
     try:
-        asked_s = float(text)
+        requested_s = float(text)
     except ValueError:
-        asked_s = -1.0
-    if not 0 < asked_s < float("inf"):
+        requested_s = -1.0
+    if not 0 < requested_s < float("inf"):
         raise _refusal(
             400,
             "bad-deadline",
             f"{DEADLINE_HEADER} is {text!r}",
             "give seconds above 0",
         )
-    return min(asked_s, spec.deadline_s)
+    return min(requested_s, spec.deadline_s)
 
 
 def _is_repeat_safe(request: web.Request, spec: ServiceSpec) -> bool:
@@ -182,10 +182,12 @@
         ) from None
 
 
-_KEPT_HEADERS = ("Accept", "Content-Type", "User-Agent", "Traceparent")
+_FORWARDED_HEADER_NAMES = ("Accept", "Content-Type", "User-Agent", "Traceparent")
 
 
 def _forwarded_headers(request: web.Request) -> dict[str, str]:
     return {
-        name: request.headers[name] for name in _KEPT_HEADERS if name in request.headers
+        name: request.headers[name]
+        for name in _FORWARDED_HEADER_NAMES
+        if name in request.headers
     }
--- a/src/streamthread/requests/retries.py
+++ b/src/streamthread/requests/retries.py
@@ -19,7 +19,7 @@
         """Earn a part of a retry."""
         self._tokens = min(self._reserve, self._tokens + self._fraction)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry, if there is one."""
         if self._tokens < 1:
             return False
--- a/src/streamthread/requests/router.py
+++ b/src/streamthread/requests/router.py
@@ -16,7 +16,7 @@
 from .directory import UpstreamDirectory
 from .outcomes import Outcome
 from .outcomes import Problem
-from .shares import Borrowing
+from .shares import BorrowingBackoff
 from .slots import SlotQueue
 from .upstreams import choose
 from .upstreams import Upstream
@@ -69,7 +69,7 @@
         self._directory = UpstreamDirectory(entry, catalog, views, entries)
         self._waiting = WaitingServices(entry, entries, spread_soon)
         self._queues: dict[str, SlotQueue] = {}
-        self._borrowing: dict[str, Borrowing] = {}
+        self._borrowing_backoffs: dict[str, BorrowingBackoff] = {}
         rumors.listen(self._on_rumor)
 
     # Choice.
@@ -80,7 +80,7 @@
         spec: ServiceSpec,
         deadline_at_s: float,
         tried: set[str],
-        again: bool = False,
+        is_retry: bool = False,
         team: str = "",
     ) -> Slot:
         """Return a slot on an upstream; :meth:`release` it later.
@@ -91,15 +91,17 @@
         :raises Problem: not-run, at once when waiting would be in vain.
         """
         queue = self._queue(name, spec)
-        slot = self._take(name, spec, tried) if again or not len(queue) else None
+        slot = (
+            self._try_acquire(name, spec, tried) if is_retry or not len(queue) else None
+        )
         if slot is None:
-            if not again:
-                self._refuse_hopeless(name, queue, deadline_at_s)
-            self._waiting.note_here(name)
-            slot = await queue.take(
-                lambda: self._take(name, spec, tried),
+            if not is_retry:
+                self._reject_infeasible(name, queue, deadline_at_s)
+            self._waiting.note_waiting_here(name)
+            slot = await queue.acquire(
+                lambda: self._try_acquire(name, spec, tried),
                 deadline_at_s - queue.run_s,
-                in_front=again,
+                in_front=is_retry,
                 team=team,
                 weight=self._weight_of(team),
             )
@@ -128,13 +130,15 @@
             queue = self._queues[name] = SlotQueue(spec.queue_limit)
         return queue
 
-    def _take(self, name: str, spec: ServiceSpec, tried: set[str]) -> Slot | None:
-        upstreams = self._directory.of(spec)
+    def _try_acquire(
+        self, name: str, spec: ServiceSpec, tried: set[str]
+    ) -> Slot | None:
+        upstreams = self._directory.upstreams_for(spec)
         if not upstreams:
             raise _overloaded(name, "no upstream is in service", NO_UPSTREAM_RETRY_S)
         chosen = choose(
             upstreams,
-            self._directory.healths,
+            self._directory.health_by_id,
             self._hall,
             tried,
             self._may_borrow(name),
@@ -147,15 +151,15 @@
 
     def _may_borrow(self, name: str) -> bool:
         """Whether a slot of another entry may be tried for a service."""
-        if self._waiting.waits_elsewhere(name):
+        if self._waiting.is_waiting_elsewhere(name):
             return False
-        return self._borrowing_of(name).may_try(boot_s())
+        return self._borrowing_backoff(name).may_try(boot_s())
 
-    def _borrowing_of(self, name: str) -> Borrowing:
-        return self._borrowing.setdefault(name, Borrowing())
+    def _borrowing_backoff(self, name: str) -> BorrowingBackoff:
+        return self._borrowing_backoffs.setdefault(name, BorrowingBackoff())
 
     @staticmethod
-    def _refuse_hopeless(name: str, queue: SlotQueue, deadline_at_s: float) -> None:
+    def _reject_infeasible(name: str, queue: SlotQueue, deadline_at_s: float) -> None:
         """Refuse at once what would wait in vain, or run past its deadline."""
         wait_s = queue.expected_wait_s()
         if queue.is_full:
@@ -169,7 +173,7 @@
     def note_accepted(self, slot: Slot) -> None:
         """Note that an upstream took the request."""
         if slot.borrowed:
-            self._borrowing_of(slot.service).note_taken()
+            self._borrowing_backoff(slot.service).note_accepted()
 
     def note_success(self, slot: Slot, run_s: float) -> None:
         """Note a whole answer, and how long it took."""
@@ -191,7 +195,7 @@
         now_s = boot_s()
         self._directory.health(slot.upstream).note_full(now_s)
         if slot.borrowed:
-            self._borrowing_of(slot.service).note_refused(now_s)
+            self._borrowing_backoff(slot.service).note_refused(now_s)
 
     def note_leaving(self, upstream: Upstream, reason: str) -> None:
         """Note that an upstream said it leaves, and tell the peers."""
@@ -205,7 +209,7 @@
     def _on_rumor(self, rumor: pb.Rumor) -> None:
         body = rumor.WhichOneof("body")
         if body == "daemon":
-            self._waiting.note_at(rumor.daemon.daemon_id, rumor.daemon.waiting)
+            self._waiting.note_waiting_at(rumor.daemon.daemon_id, rumor.daemon.waiting)
         elif body == "leaving":
             instance_id = rumor.leaving.instance_id
             self._directory.note_leaving(instance_id, boot=rumor.version)
@@ -220,7 +224,7 @@
 
     def waiting(self) -> list[str]:
         """Return the services for which requests waited here lately."""
-        return self._waiting.here()
+        return self._waiting.waiting_here()
 
     def drain_reports(self) -> list[pb.DrainReport]:
         """Return what is still in flight here on the instances that drain."""
@@ -235,7 +239,7 @@
 
     def in_flight_on(self, instance_id: str) -> int:
         """Return how many requests are in flight on one instance."""
-        health = self._directory.healths.get(instance_id)
+        health = self._directory.health_by_id.get(instance_id)
         return health.in_flight if health else 0
 
     def queued(self) -> int:
--- a/src/streamthread/requests/service.py
+++ b/src/streamthread/requests/service.py
@@ -15,9 +15,9 @@
 from .outcomes import OUTCOME_HEADER
 from .outcomes import Problem
 from .outcomes import problem_response
-from .parse import Callers
 from .parse import MAX_BODY_BYTES
 from .parse import parse_call
+from .parse import TokenAuthenticator
 from .router import Router
 
 __all__ = ["RequestService"]
@@ -56,7 +56,7 @@
         self._host = host
         self._configuration = configuration
         self._is_current = is_current
-        self._callers = Callers(configuration)
+        self._authenticator = TokenAuthenticator(configuration)
         self._dispatcher = Dispatcher(router, lambda: self.stopping)
         self._at_most_once = AtMostOnce(daemon_id, claims, self._dispatcher)
         self._runner: web.AppRunner | None = None
@@ -110,7 +110,9 @@
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         try:
             self._refuse_if_cut_off()
-            call = await parse_call(request, self._configuration.active, self._callers)
+            call = await parse_call(
+                request, self._configuration.active, self._authenticator
+            )
             if call.repeat_safe:
                 return await self._dispatcher.dispatch(request, call)
             return await self._at_most_once.dispatch(request, call)
--- a/src/streamthread/requests/shares.py
+++ b/src/streamthread/requests/shares.py
@@ -10,19 +10,19 @@
 import hashlib
 import typing as t
 
-__all__ = ["Borrowing", "own_slots"]
+__all__ = ["BorrowingBackoff", "own_slots"]
 
-FIRST_PAUSE_S = 0.01
-LONGEST_PAUSE_S = 0.4
+MIN_PAUSE_S = 0.01
+MAX_PAUSE_S = 0.4
 
 
-def _weight(text: str) -> bytes:
+def _hash(text: str) -> bytes:
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
 @functools.lru_cache(maxsize=4096)
 def own_slots(
-    upstreams: tuple[str, ...], slots: int, entries: tuple[str, ...], me: str
+    upstreams: tuple[str, ...], slots: int, entries: tuple[str, ...], entry: str
 ) -> t.Mapping[str, int]:
     """Return how many slots of each upstream belong to one entry.
 
@@ -32,21 +32,21 @@
     :param upstreams: their ids, sorted.
     :param entries: the live entries' ids, sorted.
     """
-    if me not in entries:
+    if entry not in entries:
         return {}
-    order = sorted(entries, key=_weight)
-    first = int.from_bytes(_weight(" ".join(upstreams)), "big")
-    mine = order.index(me)
+    order = sorted(entries, key=_hash)
+    first_number = int.from_bytes(_hash(" ".join(upstreams)), "big")
+    own_position = order.index(entry)
     shares: collections.Counter[str] = collections.Counter()
-    number = first
+    slot_number = first_number
     for _ in range(slots):
         for upstream in upstreams:
-            shares[upstream] += number % len(order) == mine
-            number += 1
+            shares[upstream] += slot_number % len(order) == own_position
+            slot_number += 1
     return dict(shares)
 
 
-class Borrowing:
+class BorrowingBackoff:
     """How soon an entry may try a slot that is not its own.
 
     While others leave slots unused a try succeeds, and the next may follow at
@@ -63,11 +63,11 @@
 
     def note_refused(self, now_s: float) -> None:
         """Wait longer before the next try."""
-        doubled_s = max(FIRST_PAUSE_S, 2 * self._pause_s)
-        self._pause_s = min(LONGEST_PAUSE_S, doubled_s)
+        doubled_s = max(MIN_PAUSE_S, 2 * self._pause_s)
+        self._pause_s = min(MAX_PAUSE_S, doubled_s)
         self._next_s = now_s + self._pause_s
 
-    def note_taken(self) -> None:
+    def note_accepted(self) -> None:
         """Try again at once."""
         self._pause_s = 0.0
         self._next_s = 0.0
--- a/src/streamthread/requests/slots.py
+++ b/src/streamthread/requests/slots.py
@@ -12,18 +12,18 @@
 
 __all__ = ["SlotQueue"]
 
-RATE_WEIGHT = 0.1
+EWMA_WEIGHT = 0.1
 
 T = t.TypeVar("T")
 
 
 @attrs.define(order=True)
-class _Turn:
+class _Waiter:
     """One request's place; the smallest is first."""
 
     tag: float
-    number: int
-    woken: asyncio.Event = attrs.field(factory=asyncio.Event, order=False)
+    sequence: int
+    wakeup: asyncio.Event = attrs.field(factory=asyncio.Event, order=False)
 
 
 class SlotQueue:
@@ -49,12 +49,12 @@
         self.limit = limit
         self._poll_s = poll_s
         self._clock_s = clock_s
-        self._waiting: list[_Turn] = []
-        self._numbers = itertools.count()
+        self._waiting: list[_Waiter] = []
+        self._sequences = itertools.count()
         self._served_tag = 0.0
         self._last_tags: dict[str, float] = {}
-        self._last_taken_s: float | None = None
-        self._gap_s = 0.0
+        self._last_acquired_s: float | None = None
+        self._drain_interval_s = 0.0
         self._run_s = 0.0
 
     def __len__(self) -> int:
@@ -67,7 +67,7 @@
 
     def expected_wait_s(self) -> float:
         """Return how long a new arrival would wait, from the drain rate."""
-        return (len(self._waiting) + 1) * self._gap_s
+        return (len(self._waiting) + 1) * self._drain_interval_s
 
     @property
     def run_s(self) -> float:
@@ -76,66 +76,66 @@
 
     def note_run(self, run_s: float) -> None:
         """Learn how long requests run, from one that was answered."""
-        weight = RATE_WEIGHT if self._run_s else 1.0
+        weight = EWMA_WEIGHT if self._run_s else 1.0
         self._run_s += weight * (run_s - self._run_s)
 
     def release(self) -> None:
         """Let the first one try, since a slot came free."""
         if self._waiting:
-            self._waiting[0].woken.set()
+            self._waiting[0].wakeup.set()
 
-    async def take(
+    async def acquire(
         self,
-        try_take: t.Callable[[], T | None],
+        try_acquire: t.Callable[[], T | None],
         deadline_at_s: float,
         in_front: bool = False,
         team: str = "",
         weight: float = 1.0,
     ) -> T | None:
-        """Wait in line until ``try_take`` succeeds; None after the deadline.
+        """Wait in line until ``try_acquire`` succeeds; None after the deadline.
 
         :param in_front: it had its turn already, and was refused.
         """
         tag = self._served_tag if in_front else self._next_tag(team, weight)
-        number = -1 if in_front else next(self._numbers)
-        turn = _Turn(tag, number)
-        bisect.insort(self._waiting, turn)
+        sequence = -1 if in_front else next(self._sequences)
+        waiter = _Waiter(tag, sequence)
+        bisect.insort(self._waiting, waiter)
         try:
             while (left_s := deadline_at_s - self._clock_s()) > 0:
-                is_first = self._waiting[0] is turn
-                if is_first and (taken := try_take()) is not None:
-                    self._served_tag = max(self._served_tag, turn.tag)
-                    self._note_taken()
-                    return taken
-                turn.woken.clear()
+                is_first = self._waiting[0] is waiter
+                if is_first and (acquired := try_acquire()) is not None:
+                    self._served_tag = max(self._served_tag, waiter.tag)
+                    self._note_acquired()
+                    return acquired
+                waiter.wakeup.clear()
                 pause_s = min(left_s, self._poll_s) if is_first else left_s
-                await _wait(turn.woken, pause_s)
+                await _wait(waiter.wakeup, pause_s)
             return None
         finally:
-            self._leave(turn)
+            self._remove(waiter)
 
     def _next_tag(self, team: str, weight: float) -> float:
         """Return the tag of a team's next request."""
-        begins = max(self._served_tag, self._last_tags.get(team, 0.0))
-        self._last_tags[team] = begins + 1.0 / weight
+        start_tag = max(self._served_tag, self._last_tags.get(team, 0.0))
+        self._last_tags[team] = start_tag + 1.0 / weight
         return self._last_tags[team]
 
-    def _leave(self, turn: _Turn) -> None:
-        self._waiting = [waiting for waiting in self._waiting if waiting is not turn]
+    def _remove(self, waiter: _Waiter) -> None:
+        self._waiting = [other for other in self._waiting if other is not waiter]
         if not self._waiting:
-            self._last_taken_s = None
+            self._last_acquired_s = None
             self._served_tag = 0.0
             self._last_tags.clear()
         self.release()
 
-    def _note_taken(self) -> None:
+    def _note_acquired(self) -> None:
         """Learn the drain rate, from slots taken while others wait."""
         now_s = self._clock_s()
-        if self._last_taken_s is not None:
-            gap_s = now_s - self._last_taken_s
-            weight = RATE_WEIGHT if self._gap_s else 1.0
-            self._gap_s += weight * (gap_s - self._gap_s)
-        self._last_taken_s = now_s
+        if self._last_acquired_s is not None:
+            interval_s = now_s - self._last_acquired_s
+            weight = EWMA_WEIGHT if self._drain_interval_s else 1.0
+            self._drain_interval_s += weight * (interval_s - self._drain_interval_s)
+        self._last_acquired_s = now_s
 
 
 async def _wait(event: asyncio.Event, limit_s: float) -> None:
--- a/src/streamthread/requests/sweeper.py
+++ b/src/streamthread/requests/sweeper.py
@@ -16,7 +16,7 @@
 
 __all__ = ["ClaimSweeper", "SweepSettings"]
 
-PARTS = 16
+PARTITION_COUNT = 16
 """The claims are swept in so many parts, by the first hexadecimal digit."""
 
 
@@ -51,8 +51,8 @@
         self._leases = leases
         self._settings = settings
         self._wall_s = wall_s
-        self._part = 0
-        self._after = ""
+        self._partition = 0
+        self._cursor = ""
 
     @Service.task
     async def _sweep(self) -> None:
@@ -65,17 +65,17 @@
 
     async def sweep_page(self) -> None:
         """Read one page of the part at hand and delete what is old in it."""
-        prefix = f"claim/{self._part:x}"
+        prefix = f"claim/{self._partition:x}"
         if not self._leases.holds(prefix):
-            self._next_part()
+            self._next_partition()
             return
-        page = await self._tables.scan(prefix, self._after)
+        page = await self._tables.scan(prefix, self._cursor)
         if not page:
-            self._next_part()
+            self._next_partition()
             return
-        self._after = page[-1].key
-        oldest_kept_s = self._wall_s() - self._settings.kept_s
-        old = [row for row in page if row.value["claimed_at_s"] < oldest_kept_s]
+        self._cursor = page[-1].key
+        oldest_retained_s = self._wall_s() - self._settings.kept_s
+        old = [row for row in page if row.value["claimed_at_s"] < oldest_retained_s]
         for start in range(0, len(old), MAX_ROWS_PER_TRANSACTION):
             await self._delete(old[start : start + MAX_ROWS_PER_TRANSACTION])
 
@@ -85,6 +85,6 @@
         if result.committed:
             self.deleted += len(rows)
 
-    def _next_part(self) -> None:
-        self._part = (self._part + 1) % PARTS
-        self._after = ""
+    def _next_partition(self) -> None:
+        self._partition = (self._partition + 1) % PARTITION_COUNT
+        self._cursor = ""
--- a/src/streamthread/requests/tests/test_choice.py
+++ b/src/streamthread/requests/tests/test_choice.py
@@ -11,7 +11,7 @@
 from streamthread.clocks import boot_s
 from streamthread.configuration import ServiceSpec
 from streamthread.providers import Instance
-from streamthread.requests import Borrowing
+from streamthread.requests import BorrowingBackoff
 from streamthread.requests import choose
 from streamthread.requests import Outcome
 from streamthread.requests import own_slots
@@ -115,14 +115,14 @@
 
 class TestBorrowing:
     def test_refusals_double_the_pause_and_success_ends_it(self) -> None:
-        borrowing = Borrowing()
+        borrowing = BorrowingBackoff()
         assert borrowing.may_try(0.0)
         borrowing.note_refused(0.0)
         assert not borrowing.may_try(0.005)
         assert borrowing.may_try(0.01)
         borrowing.note_refused(1.0)
         assert not borrowing.may_try(1.015)
-        borrowing.note_taken()
+        borrowing.note_accepted()
         assert borrowing.may_try(1.015)
 
 
@@ -138,7 +138,7 @@
         served: list[int] = []
 
         async def one(number: int) -> None:
-            taken = await queue.take(lambda: free.popleft() if free else None, 1e12)
+            taken = await queue.acquire(lambda: free.popleft() if free else None, 1e12)
             assert taken is not None
             served.append(number)
 
@@ -157,7 +157,7 @@
         served: list[str] = []
 
         async def one(team: str, weight: float) -> None:
-            await queue.take(
+            await queue.acquire(
                 lambda: free.popleft() if free else None, 1e12, False, team, weight
             )
             served.append(team)
@@ -181,7 +181,9 @@
         served: list[str] = []
 
         async def one(name: str, in_front: bool) -> None:
-            await queue.take(lambda: free.popleft() if free else None, 1e12, in_front)
+            await queue.acquire(
+                lambda: free.popleft() if free else None, 1e12, in_front
+            )
             served.append(name)
 
         tasks = [asyncio.create_task(one("first", False))]
@@ -196,7 +198,7 @@
     async def test_gives_up_at_the_deadline(self) -> None:
         queue = SlotQueue(limit=10, poll_s=0.01)
         loop = asyncio.get_running_loop()
-        assert await queue.take(lambda: None, loop.time() + 0.05) is None
+        assert await queue.acquire(lambda: None, loop.time() + 0.05) is None
         assert len(queue) == 0
 
     async def test_expected_wait_follows_the_pace(self) -> None:
@@ -204,7 +206,9 @@
         queue = SlotQueue(limit=10, poll_s=0.001, clock_s=lambda: now_s)
         free: list[int] = []
         tasks = [
-            asyncio.create_task(queue.take(lambda: free.pop() if free else None, 1e9))
+            asyncio.create_task(
+                queue.acquire(lambda: free.pop() if free else None, 1e9)
+            )
             for _ in range(6)
         ]
         await asyncio.sleep(0)
@@ -264,5 +268,5 @@
         taken = 0
         for _ in range(1000):
             budget.note_request()
-            taken += budget.take()
+            taken += budget.try_spend()
         assert taken <= 1000 * 0.1 + 5
--- a/src/streamthread/requests/tests/test_claims.py
+++ b/src/streamthread/requests/tests/test_claims.py
@@ -82,7 +82,7 @@
         won = await first.claim("k", _claim())
         assert won.existing is None
         done = Claim("d", "entry", 0.0, ClaimState.DONE, 200, "text/plain", "6869")
-        first.conclude("k", done, won.version)
+        first.record_outcome("k", done, won.version)
         while first.pending_outcomes:
             await asyncio.sleep(0.01)
         while (known := (await second.claim("k", _claim())).existing) != done:
@@ -96,7 +96,7 @@
         _, service = await _service(tables)
         won = await service.claim("k", _claim())
         given_up = Claim("d", "entry", 0.0, ClaimState.NOT_RUN)
-        service.conclude("k", given_up, won.version)
+        service.record_outcome("k", given_up, won.version)
         while (again := await service.claim("k", _claim())).existing is not None:
             await asyncio.sleep(0.01)
         assert again.version > won.version
--- a/src/streamthread/requests/tests/test_lost_upstreams.py
+++ b/src/streamthread/requests/tests/test_lost_upstreams.py
@@ -48,7 +48,7 @@
         dispatcher = Dispatcher(t.cast(t.Any, router), lambda: False)
 
         async def break_off(*arguments: object) -> web.StreamResponse:
-            raise dispatch._LostError("connection reset")
+            raise dispatch._AnswerLostError("connection reset")
 
         monkeypatch.setattr(dispatcher, "_send", break_off)
         with pytest.raises(Problem) as raised:
--- a/src/streamthread/requests/upstreams.py
+++ b/src/streamthread/requests/upstreams.py
@@ -11,7 +11,7 @@
 
 FAILURES_BEFORE_EJECTION = 5
 EJECTION_BASE_S = 2.0
-EJECTION_LIMIT_S = 60.0
+MAX_EJECTION_S = 60.0
 MAX_EJECTED_FRACTION = 0.5
 FULL_PAUSE_S = 0.02
 
@@ -63,7 +63,7 @@
         if self.failures < FAILURES_BEFORE_EJECTION:
             return False
         self.failures = FAILURES_BEFORE_EJECTION - 1
-        pause_s = min(EJECTION_LIMIT_S, EJECTION_BASE_S * 2**self.ejections)
+        pause_s = min(MAX_EJECTION_S, EJECTION_BASE_S * 2**self.ejections)
         self.ejections += 1
         self.ejected_until_s = now_s + pause_s
         return True
@@ -119,11 +119,11 @@
     health: t.Mapping[str, UpstreamHealth],
     now_s: float,
 ) -> list[Upstream]:
-    kept = [
+    remaining = [
         upstream
         for upstream in upstreams
         if not health[upstream.instance_id].is_ejected(now_s)
     ]
-    if len(kept) >= len(upstreams) * (1 - MAX_EJECTED_FRACTION):
-        return kept
+    if len(remaining) >= len(upstreams) * (1 - MAX_EJECTED_FRACTION):
+        return remaining
     return list(upstreams)
--- a/src/streamthread/requests/waiting.py
+++ b/src/streamthread/requests/waiting.py
@@ -6,7 +6,7 @@
 
 __all__ = ["WaitingServices"]
 
-WAITING_KEPT_S = 1.0
+WAITING_RETENTION_S = 1.0
 """A service counts as waiting for so long after a request waited."""
 
 
@@ -30,25 +30,28 @@
         self._waited_at_s: dict[str, float] = {}
         self._elsewhere: dict[str, frozenset[str]] = {}
 
-    def note_here(self, name: str) -> None:
+    def note_waiting_here(self, name: str) -> None:
         """Note that a request waits here, and tell the others soon."""
         now_s = boot_s()
-        if now_s - self._waited_at_s.get(name, -WAITING_KEPT_S) >= WAITING_KEPT_S:
+        if (
+            now_s - self._waited_at_s.get(name, -WAITING_RETENTION_S)
+            >= WAITING_RETENTION_S
+        ):
             self._spread_soon()
         self._waited_at_s[name] = now_s
 
-    def here(self) -> list[str]:
+    def waiting_here(self) -> list[str]:
         """Return the services for which requests waited here lately."""
-        since_s = boot_s() - WAITING_KEPT_S
+        since_s = boot_s() - WAITING_RETENTION_S
         return sorted(
             name for name, at_s in self._waited_at_s.items() if at_s >= since_s
         )
 
-    def note_at(self, entry: str, names: t.Iterable[str]) -> None:
+    def note_waiting_at(self, entry: str, names: t.Iterable[str]) -> None:
         """Note for which services requests wait at another entry."""
         self._elsewhere[entry] = frozenset(names)
 
-    def waits_elsewhere(self, name: str) -> bool:
+    def is_waiting_elsewhere(self, name: str) -> bool:
         """Whether another entry lacks slots itself, so that it needs its own."""
         return any(
             name in self._elsewhere.get(entry, ())
