--- a/src/streamthread/requests/dispatch.py
+++ b/src/streamthread/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Carries one request to an upstream, and to another where that is safe."""
+"""Sends a request to an upstream, and retries on another one where that is safe."""
 
 import contextlib
 import typing as t
@@ -23,29 +23,30 @@
 __all__ = ["Dispatcher"]
 
 CONNECT_TIMEOUT_S = 1.0
-"""An upstream that does not accept a connection for so long is passed over."""
+"""If an upstream does not accept a connection within this time, another is tried."""
 
 MIN_TIMEOUT_S = 0.001
-"""The HTTP client takes a total of zero as no limit at all."""
+"""Lower bound of the total timeout: the HTTP client treats zero as no limit."""
 
 
 MAX_LOST_ANSWERS = 2
-"""A request under which so many upstreams broke is not sent to a third: it may be what
-broke them. With the retry budget alone, one such request broke eleven."""
+"""After this many lost answers, a request is not sent to another upstream: it may be
+what makes them fail. With the retry budget alone, one such request broke eleven."""
 
 
 class _NotStartedError(Exception):
-    """The upstream certainly did not start the request; another may take it."""
+    """The upstream certainly did not start the request; another one may run it."""
 
 
 class _AnswerLostError(Exception):
-    """Bytes went out and no answer began; it may have run."""
+    """The request was sent but no answer began; the request may have run."""
 
 
 class Dispatcher:
     """Sends requests to the upstreams that the router chooses.
 
-    :param is_stopping: whether callers' connections end with their answers.
+    :param is_stopping: returns whether this entry is stopping; callers' connections
+        are then closed after the answer.
     """
 
     def __init__(self, router: Router, is_stopping: t.Callable[[], bool]) -> None:
@@ -55,7 +56,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def open(self) -> None:
-        """Make the client of the upstreams; the router bounds its connections."""
+        """Create the HTTP client without a connection limit; the router limits them."""
         connector = aiohttp.TCPConnector(limit=0)
         self._session = aiohttp.ClientSession(
             connector=connector, auto_decompress=False
@@ -69,12 +70,13 @@
     async def dispatch(
         self, request: web.Request, call: Call, answer: RecordedAnswer | None = None
     ) -> web.StreamResponse:
-        """Try upstreams until one has the request; then stay with it.
+        """Try upstreams until one accepts the request, and relay its answer.
 
-        Once an answer was lost, giving up means unknown, never not-run.
+        Once an answer was lost, every failure has the outcome unknown, never
+        not-run, because the request may have run.
 
-        :param answer: keeps a copy of the answer, if given.
-        :raises Problem: no upstream took it, or its answer was lost.
+        :param answer: records a copy of the answer, if given.
+        :raises Problem: no upstream accepted the request, or the answer was lost.
         """
         self._retries.note_request()
         tried: set[str] = set()
@@ -98,7 +100,7 @@
             is_retry = True
 
     def _may_retry(self, call: Call, lost_count: int) -> bool:
-        """Whether a request may go to one more upstream after answers were lost."""
+        """Whether a request may go to another upstream after its answer was lost."""
         if not call.repeat_safe or lost_count >= MAX_LOST_ANSWERS:
             return False
         return self._retries.try_spend()
@@ -144,7 +146,7 @@
     def _exchange(
         self, call: Call, slot: Slot
     ) -> contextlib.AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        """Return one HTTP exchange with an upstream, within the call's deadline."""
+        """Return an HTTP exchange with an upstream, limited by the call's deadline."""
         assert self._session is not None
         left_s = call.left_s()
         timeout = aiohttp.ClientTimeout(
@@ -160,9 +162,9 @@
         )
 
     def _note_reply_headers(self, slot: Slot, reply: aiohttp.ClientResponse) -> None:
-        """Act on what an upstream says of itself.
+        """Act on what an upstream reports about itself in the answer's headers.
 
-        :raises _NotStartedError: it says that it did not start the request.
+        :raises _NotStartedError: the upstream did not start the request.
         """
         if LEAVING_HEADER in reply.headers:
             self._router.note_leaving(slot.upstream, "said so in an answer")
--- a/src/streamthread/requests/router.py
+++ b/src/streamthread/requests/router.py
@@ -1,4 +1,4 @@
-"""From a service to a slot on one of its upstreams, and back."""
+"""Acquires slots on a service's upstreams for requests, and releases them."""
 
 import typing as t
 
@@ -26,14 +26,14 @@
 
 AREA = "requests"
 NO_UPSTREAM_RETRY_S = 2.0
-"""Retry-After while a service has no upstream: it takes a change of the pool."""
+"""Retry-After while a service has no upstream; only a change of its pool adds one."""
 
 
 @attrs.frozen
 class Slot:
     """A slot that a request occupies.
 
-    :param borrowed: it belongs to another entry.
+    :param borrowed: whether the slot belongs to another entry.
     """
 
     service: str
@@ -42,10 +42,11 @@
 
 
 class Router:
-    """Chooses upstreams and counts what is in flight on them.
+    """Chooses upstreams and counts the requests in flight on each of them.
 
     :param entry: this entry's id.
-    :param entries: returns the live entries' ids, sorted, this one's among them.
+    :param entries: returns the sorted ids of the live entries, including this one.
+    :param spread_soon: requests an early exchange of updates with the peers.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         self._borrowing_backoffs: dict[str, BorrowingBackoff] = {}
         rumors.listen(self._on_rumor)
 
-    # Choice.
+    # Choice of an upstream.
 
     async def acquire(
         self,
@@ -83,12 +84,15 @@
         is_retry: bool = False,
         team: str = "",
     ) -> Slot:
-        """Return a slot on an upstream; :meth:`release` it later.
-
-        :param tried: the upstreams that refused this request lately.
-        :param again: it was refused, and keeps its place in front.
-        :param team: whose request it is; teams wait in fair turns.
-        :raises Problem: not-run, at once when waiting would be in vain.
+        """Return a slot on an upstream; the caller must :meth:`release` it.
+
+        :param tried: ids of the upstreams that recently refused this request. It is
+            cleared when no upstream can be chosen.
+        :param is_retry: whether an upstream already refused the request; it then
+            goes to the front of the queue.
+        :param team: the caller's team; the queue is fair between teams.
+        :raises Problem: no slot became free in time (outcome not-run). It is raised
+            at once if the request could not end before its deadline.
         """
         queue = self._queue(name, spec)
         slot = (
@@ -118,7 +122,7 @@
         return spec.weight if spec is not None else 1.0
 
     def release(self, slot: Slot) -> None:
-        """Give a slot back."""
+        """Free a slot that :meth:`acquire` returned."""
         self._directory.health(slot.upstream).in_flight -= 1
         queue = self._queues.get(slot.service)
         if queue is not None:
@@ -150,7 +154,10 @@
         return Slot(name, chosen.upstream, chosen.borrowed)
 
     def _may_borrow(self, name: str) -> bool:
-        """Whether a slot of another entry may be tried for a service."""
+        """Whether the service may use slots of other entries now.
+
+        It may not while another entry has waiting requests and needs its own slots.
+        """
         if self._waiting.is_waiting_elsewhere(name):
             return False
         return self._borrowing_backoff(name).may_try(boot_s())
@@ -160,7 +167,7 @@
 
     @staticmethod
     def _reject_infeasible(name: str, queue: SlotQueue, deadline_at_s: float) -> None:
-        """Refuse at once what would wait in vain, or run past its deadline."""
+        """Reject a request that finds a full queue or cannot end by its deadline."""
         wait_s = queue.expected_wait_s()
         if queue.is_full:
             raise _overloaded(name, "the queue is full", wait_s)
@@ -168,22 +175,22 @@
             cause = "the queue is longer than the deadline allows"
             raise _overloaded(name, cause, wait_s)
 
-    # Signs of health.
+    # Health of upstreams.
 
     def note_accepted(self, slot: Slot) -> None:
-        """Note that an upstream took the request."""
+        """Record that an upstream accepted the request."""
         if slot.borrowed:
             self._borrowing_backoff(slot.service).note_accepted()
 
     def note_success(self, slot: Slot, run_s: float) -> None:
-        """Note a whole answer, and how long it took."""
+        """Record that a request was answered, and how long that took."""
         self._directory.health(slot.upstream).note_success()
         queue = self._queues.get(slot.service)
         if queue is not None:
             queue.note_run(run_s)
 
     def note_failure(self, upstream: Upstream, cause: str) -> None:
-        """Note a broken or refused connection."""
+        """Record a broken or refused connection."""
         health = self._directory.health(upstream)
         if health.note_failure(boot_s()):
             self._recorder.record(
@@ -191,14 +198,14 @@
             )
 
     def note_full(self, slot: Slot) -> None:
-        """Note a refusal for want of a slot."""
+        """Record that an upstream refused a request because it had no free slot."""
         now_s = boot_s()
         self._directory.health(slot.upstream).note_full(now_s)
         if slot.borrowed:
             self._borrowing_backoff(slot.service).note_refused(now_s)
 
     def note_leaving(self, upstream: Upstream, reason: str) -> None:
-        """Note that an upstream said it leaves, and tell the peers."""
+        """Record that an upstream announced that it is leaving; notify the peers."""
         mark = pb.LeavingMark(instance_id=upstream.instance_id, reason=reason)
         rumor = pb.Rumor(
             key=f"leaving/{upstream.instance_id}", version=upstream.boot, leaving=mark
@@ -220,14 +227,14 @@
                 rumor.leaving.reason,
             )
 
-    # What others ask.
+    # Reports.
 
     def waiting(self) -> list[str]:
-        """Return the services for which requests waited here lately."""
+        """Return the services for which requests recently waited at this entry."""
         return self._waiting.waiting_here()
 
     def drain_reports(self) -> list[pb.DrainReport]:
-        """Return what is still in flight here on the instances that drain."""
+        """Return how many requests this entry has in flight on draining instances."""
         return [
             pb.DrainReport(
                 instance_id=instance_id,
@@ -238,7 +245,7 @@
         ]
 
     def in_flight_on(self, instance_id: str) -> int:
-        """Return how many requests are in flight on one instance."""
+        """Return how many requests this entry has in flight on one instance."""
         health = self._directory.health_by_id.get(instance_id)
         return health.in_flight if health else 0
 
