--- a/src/streamthread/requests/at_most_once.py
+++ b/src/streamthread/requests/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: dispatched by whoever claims their key."""
+"""Dispatches requests that are not safe to repeat, at most once per key."""
 
 import asyncio
 import time
@@ -23,11 +23,11 @@
 __all__ = ["AtMostOnce"]
 
 CLAIM_RETRY_S = 2.0
-"""Retry-After where a key could not be claimed, or its first request still runs."""
+"""Retry-After if a key could not be claimed or its first request may still run."""
 
 
 class AtMostOnce:
-    """Claims a request's key before it is dispatched, and keeps what became of it."""
+    """Claims a request's key before dispatching it, then records the outcome."""
 
     def __init__(
         self, daemon_id: str, claims: ClaimService, dispatcher: Dispatcher
@@ -37,9 +37,10 @@
         self._dispatcher = dispatcher
 
     async def dispatch(self, request: web.Request, call: Call) -> web.StreamResponse:
-        """Dispatch a request, or answer with the state of the first of its key.
+        """Dispatch a request, or answer with the state of the key's first request.
 
-        :raises Problem: the key is taken or was not claimed, or as dispatched.
+        :raises Problem: the key is taken or could not be claimed, or the dispatch
+            failed.
         """
         key = claim_key(call.service, call.team, call.idempotency_key)
         claim = Claim(call.digest(), self._daemon_id, time.time())
@@ -76,12 +77,12 @@
 
 
 def _answer_repeated_key(existing: Claim, requested: Claim) -> web.Response:
-    """Answer a repeated key with the state of the first request."""
+    """Answer a repeated key with the outcome of its first request."""
     if existing.digest != requested.digest:
         raise Problem(
             status=422,
             kind="key-reused",
-            detail="the key was used for another request",
+            detail="the key was already used for a different request",
             remedy="use a new key for each request",
             outcome=Outcome.NOT_RUN,
         )
@@ -99,7 +100,7 @@
 
 
 def _replayed_response(existing: Claim, body_hex: str) -> web.Response:
-    """Return the kept answer of the first request again."""
+    """Return the recorded answer of the first request."""
     return web.Response(
         status=existing.status,
         body=bytes.fromhex(body_hex),
--- a/src/streamthread/requests/claims.py
+++ b/src/streamthread/requests/claims.py
@@ -1,7 +1,8 @@
-"""At most once: a key is claimed in the table before any byte is sent.
+"""Claims idempotency keys in the store, for at-most-once requests.
 
-Claims of concurrent requests, and the outcomes of earlier ones, share
-transactions, so that a burst costs few writes.
+A key is claimed before any byte of its request is sent to an upstream. Claims of
+concurrent requests and outcomes of earlier ones share transactions, so that a burst
+of requests needs few writes.
 """
 
 import asyncio
@@ -36,12 +37,14 @@
 ]
 
 MAX_PENDING_OUTCOMES = 20_000
+"""When more outcomes wait to be written, the oldest is dropped."""
+
 FAILED_COMMIT_PAUSE_S = 0.5
-"""How long one of the parallel commits rests after the store refused."""
+"""How long a commit slot stays blocked after a commit failed."""
 
 
 class ClaimState(enum.Enum):
-    """What is known of the request that holds a key."""
+    """What is known about the request that claimed a key."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -51,10 +54,10 @@
 
 @attrs.frozen
 class Claim:
-    """The row of one key.
+    """The stored row of one key.
 
-    :param digest: of method, path and body: a key stands for one request.
-    :param body_hex: the answer, where it is small enough to be kept.
+    :param digest: digest of method, path and body; a key identifies one request.
+    :param body_hex: the body of the answer, if it is small enough to be stored.
     """
 
     digest: str
@@ -68,10 +71,10 @@
 
 @attrs.frozen
 class ClaimResult:
-    """Whose a key is.
+    """The result of an attempt to claim a key.
 
-    :param existing: the claim of the first request; None when it is ours.
-    :param version: of the row; the outcome replaces this version.
+    :param existing: the claim of an earlier request; None if this claim succeeded.
+    :param version: version of the row, which the outcome replaces.
     """
 
     existing: Claim | None
@@ -80,10 +83,12 @@
 
 @attrs.frozen
 class ClaimSettings:
-    """Limits of the claims.
+    """Limits of the claim service.
 
-    :param writes_per_s: what all daemons together may spend on claims.
-    :param give_up_s: how long a lost answer is looked for.
+    :param writes_per_s: limit of commits per second for claims, over all daemons.
+    :param parallel_commits: how many commits of one daemon may run at once.
+    :param give_up_s: how long a commit whose reply was lost is read back and sent
+        again before its result counts as unknown.
     """
 
     writes_per_s: float = 200.0
@@ -100,15 +105,15 @@
 
 
 def claim_key(service: str, team: str, idempotency_key: str) -> str:
-    """Return the row key of a caller's key."""
+    """Return the row key for an idempotency key of a team and service."""
     text = f"{service}\0{team}\0{idempotency_key}"
     return f"claim/{hashlib.sha256(text.encode()).hexdigest()[:40]}"
 
 
 class ClaimService(Service):
-    """Commits claims and outcomes in groups, at a bounded rate.
+    """Commits claims and outcomes in batches, at a limited rate.
 
-    :param daemon_count: how many daemons share the writes.
+    :param daemon_count: returns how many daemons share the write limit.
     """
 
     def __init__(
@@ -132,9 +137,10 @@
         self._next_commit_s = 0.0
 
     async def claim(self, key: str, claim: Claim) -> ClaimResult:
-        """Claim a key, or learn who has it.
+        """Claim a key, or return the claim that already exists.
 
-        A claim that is cancelled while it waits is marked not-run later.
+        If the caller is cancelled while it waits and the claim is committed, the
+        row is then marked not-run.
 
         :raises StoreUnavailableError: the key was not claimed.
         """
@@ -144,9 +150,9 @@
         return await done
 
     def record_outcome(self, key: str, claim: Claim, version: int) -> None:
-        """Write the outcome of a claim with one of the next commits.
+        """Queue the outcome of a claim, to be written with one of the next commits.
 
-        :param version: of the row that it replaces.
+        :param version: version of the row that the outcome replaces.
         """
         if len(self._outcomes) >= MAX_PENDING_OUTCOMES:
             self._outcomes.popleft()
@@ -156,7 +162,7 @@
 
     @property
     def pending_outcomes(self) -> int:
-        """How many outcomes are still to be written."""
+        """How many outcomes have not been written yet."""
         return len(self._outcomes)
 
     @Service.task
@@ -173,7 +179,7 @@
                 self._wake.clear()
 
     async def _limit_commit_rate(self) -> None:
-        """Space the commits so that all daemons stay inside the writes."""
+        """Wait so that all daemons together stay within ``writes_per_s``."""
         now_s = boot_s()
         wait_s = self._next_commit_s - now_s
         interval_s = self._daemon_count() / self._settings.writes_per_s
@@ -238,7 +244,7 @@
                 self._mark_not_run(pending)
 
     def _mark_not_run(self, pending: _PendingWrite) -> None:
-        """Mark a key not-run whose request has stopped waiting for it."""
+        """Record not-run for a claim whose request no longer waits for it."""
         claim = attrs.evolve(pending.claim, state=ClaimState.NOT_RUN)
         self.record_outcome(pending.key, claim, pending.version + 1)
 
@@ -255,7 +261,7 @@
     async def _resolve_conflicts(
         self, batch: list[_PendingWrite], keys: t.Collection[str]
     ) -> list[_PendingWrite]:
-        """Answer those whose keys are taken; return the others."""
+        """Report the existing claims of taken keys; return the writes to retry."""
         try:
             rows = await self._tables.get(list(keys))
         except StoreUnavailableError as error:
@@ -272,7 +278,10 @@
 
 
 def _resolve_taken_key(pending: _PendingWrite, row: Row | None) -> list[_PendingWrite]:
-    """Answer with the claim there is; one that was not run may be taken over."""
+    """Report the existing claim, or return the write to retry.
+
+    A claim whose request was not run may be replaced by the same request.
+    """
     if row is None:
         return [pending]
     claim = cattrs.structure(row.value, Claim)
@@ -290,6 +299,6 @@
 
 def _reply_lost_error() -> StoreUnavailableError:
     return StoreUnavailableError(
-        "the store's answer about the key was lost",
+        "the store's reply to the claim of the key was lost",
         remedy="the request was not run; send it again with the same key",
     )
