--- a/src/streamthread/requests/slots.py
+++ b/src/streamthread/requests/slots.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot: a bounded queue a service, fair between teams."""
+"""The bounded queue of a service's requests for a slot, fair between teams."""
 
 import asyncio
 import bisect
@@ -13,13 +13,14 @@
 __all__ = ["SlotQueue"]
 
 EWMA_WEIGHT = 0.1
+"""Weight of a new sample in the moving averages."""
 
 T = t.TypeVar("T")
 
 
 @attrs.define(order=True)
 class _Waiter:
-    """One request's place; the smallest is first."""
+    """A waiting request; the smallest one is first in the queue."""
 
     tag: float
     sequence: int
@@ -27,17 +28,17 @@
 
 
 class SlotQueue:
-    """Requests that wait because all upstreams of a service are full.
+    """Queues requests while all upstreams of a service are full.
 
-    Teams get turns by their weights (start-time fair queueing): a request's tag
-    is one over its team's weight after the team's last, but not before the tag
-    served last. So a team that sends much waits behind its own requests.
+    Teams are served by weight (start-time fair queueing): a request's tag is the
+    later of its team's last tag and the last served tag, plus one divided by the
+    team's weight. A team that sends many requests therefore waits behind its own.
 
-    Only the first one tries to take a slot: when one comes free here, and now
-    and then, since other daemons free slots too.
+    Only the first waiter tries to acquire a slot: when a slot becomes free here, and
+    every ``poll_s``, because other daemons free slots too.
 
-    :param limit: how many may wait.
-    :param poll_s: how often the first one tries.
+    :param limit: how many requests may wait.
+    :param poll_s: how often the first waiter tries to acquire a slot.
     """
 
     def __init__(
@@ -62,25 +63,25 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more may wait."""
+        """Whether no further request may wait."""
         return len(self._waiting) >= self.limit
 
     def expected_wait_s(self) -> float:
-        """Return how long a new arrival would wait, from the drain rate."""
+        """Estimate from the drain rate how long a new request would wait."""
         return (len(self._waiting) + 1) * self._drain_interval_s
 
     @property
     def run_s(self) -> float:
-        """How long a request runs once it has a slot, lately."""
+        """The moving average of how long a request runs once it has a slot."""
         return self._run_s
 
     def note_run(self, run_s: float) -> None:
-        """Learn how long requests run, from one that was answered."""
+        """Update the average run time with that of an answered request."""
         weight = EWMA_WEIGHT if self._run_s else 1.0
         self._run_s += weight * (run_s - self._run_s)
 
     def release(self) -> None:
-        """Let the first one try, since a slot came free."""
+        """Wake the first waiter, because a slot became free."""
         if self._waiting:
             self._waiting[0].wakeup.set()
 
@@ -92,9 +93,12 @@
         team: str = "",
         weight: float = 1.0,
     ) -> T | None:
-        """Wait in line until ``try_acquire`` succeeds; None after the deadline.
+        """Wait until ``try_acquire`` succeeds, and return its result.
 
-        :param in_front: it had its turn already, and was refused.
+        Returns None after the deadline.
+
+        :param in_front: whether the request goes to the front of the queue, because
+            it already left the queue once and an upstream refused it.
         """
         tag = self._served_tag if in_front else self._next_tag(team, weight)
         sequence = -1 if in_front else next(self._sequences)
@@ -115,7 +119,7 @@
             self._remove(waiter)
 
     def _next_tag(self, team: str, weight: float) -> float:
-        """Return the tag of a team's next request."""
+        """Return the fair-queueing tag of a team's next request."""
         start_tag = max(self._served_tag, self._last_tags.get(team, 0.0))
         self._last_tags[team] = start_tag + 1.0 / weight
         return self._last_tags[team]
@@ -129,7 +133,7 @@
         self.release()
 
     def _note_acquired(self) -> None:
-        """Learn the drain rate, from slots taken while others wait."""
+        """Update the drain rate with the time since the last slot was acquired."""
         now_s = self._clock_s()
         if self._last_acquired_s is not None:
             interval_s = now_s - self._last_acquired_s
