--- a/src/streamthread/requests/retries.py
+++ b/src/streamthread/requests/retries.py
@@ -1,13 +1,13 @@
-"""A budget for retries, so that they never multiply an overload."""
+"""A retry budget, which keeps retries from amplifying an overload."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Allows one retry for every so many requests, with a small reserve.
+    """A token bucket that limits retries to a fraction of the requests.
 
-    :param fraction: retries per request.
-    :param reserve: how many may be saved up.
+    :param fraction: how many retries each request allows.
+    :param reserve: how many unused retries may accumulate.
     """
 
     def __init__(self, fraction: float = 0.1, reserve: float = 10.0) -> None:
@@ -16,11 +16,11 @@
         self._tokens = reserve
 
     def note_request(self) -> None:
-        """Earn a part of a retry."""
+        """Add ``fraction`` of a retry to the budget, up to the reserve."""
         self._tokens = min(self._reserve, self._tokens + self._fraction)
 
     def try_spend(self) -> bool:
-        """Spend one retry, if there is one."""
+        """Spend one retry and return True, or return False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/src/streamthread/requests/shares.py
+++ b/src/streamthread/requests/shares.py
@@ -1,8 +1,8 @@
-"""Which of the upstreams' slots belong to which entry, without asking anybody.
+"""Assigns the upstreams' slots to the entries, without communication.
 
-All entries know the same upstreams and the same live entries, so each can deal
-the slots out alike: in a fixed order, in turn. While the views differ for a
-moment two may claim one slot; the upstream refuses the second.
+All entries know the same upstreams and the same live entries, so each computes the
+same round-robin assignment in a fixed order. While their views differ for a moment,
+two entries may use the same slot; the upstream then refuses the second request.
 """
 
 import collections
@@ -26,11 +26,13 @@
 ) -> t.Mapping[str, int]:
     """Return how many slots of each upstream belong to one entry.
 
-    The slots of all upstreams are dealt out in turn, so that shares differ by
-    one at most and an entry's share is spread over the upstreams.
+    The slots of all upstreams are assigned round-robin, so that the entries' totals
+    differ by at most one and an entry's slots are spread over the upstreams.
 
-    :param upstreams: their ids, sorted.
-    :param entries: the live entries' ids, sorted.
+    :param upstreams: the sorted ids of the upstreams.
+    :param slots: the number of slots of each upstream.
+    :param entries: the sorted ids of the live entries.
+    :param entry: the id of the entry whose slots are returned.
     """
     if entry not in entries:
         return {}
@@ -47,10 +49,11 @@
 
 
 class BorrowingBackoff:
-    """How soon an entry may try a slot that is not its own.
+    """Exponential backoff for the use of slots that belong to other entries.
 
-    While others leave slots unused a try succeeds, and the next may follow at
-    once. A refusal doubles the pause, so that busy upstreams are left alone.
+    While other entries leave slots unused, a request in such a slot is accepted and
+    the next may follow at once. Each refusal doubles the pause, so that busy
+    upstreams get fewer such requests.
     """
 
     def __init__(self) -> None:
@@ -58,16 +61,16 @@
         self._next_s = 0.0
 
     def may_try(self, now_s: float) -> bool:
-        """Whether the pause is over."""
+        """Whether the pause after the last refusal is over."""
         return now_s >= self._next_s
 
     def note_refused(self, now_s: float) -> None:
-        """Wait longer before the next try."""
+        """Double the pause, up to ``MAX_PAUSE_S``, and start it."""
         doubled_s = max(MIN_PAUSE_S, 2 * self._pause_s)
         self._pause_s = min(MAX_PAUSE_S, doubled_s)
         self._next_s = now_s + self._pause_s
 
     def note_accepted(self) -> None:
-        """Try again at once."""
+        """Reset the pause, so that the next try may follow at once."""
         self._pause_s = 0.0
         self._next_s = 0.0
--- a/src/streamthread/requests/waiting.py
+++ b/src/streamthread/requests/waiting.py
@@ -1,4 +1,4 @@
-"""For which services requests wait, here and at the other entries."""
+"""Tracks the services whose requests wait, here and at the other entries."""
 
 import typing as t
 
@@ -7,15 +7,15 @@
 __all__ = ["WaitingServices"]
 
 WAITING_RETENTION_S = 1.0
-"""A service counts as waiting for so long after a request waited."""
+"""A service counts as waiting for this long after a request last waited."""
 
 
 class WaitingServices:
-    """Tells the peers where slots are short, and remembers what they tell.
+    """Reports to the peers which services lack slots here, and stores their reports.
 
     :param entry: this entry's id.
-    :param entries: returns the live entries' ids, this one's among them.
-    :param spread_soon: has the peers told soon.
+    :param entries: returns the ids of the live entries, including this one.
+    :param spread_soon: requests an early exchange of updates with the peers.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._elsewhere: dict[str, frozenset[str]] = {}
 
     def note_waiting_here(self, name: str) -> None:
-        """Note that a request waits here, and tell the others soon."""
+        """Record that a request waits here; if this is new, notify the peers soon."""
         now_s = boot_s()
         if (
             now_s - self._waited_at_s.get(name, -WAITING_RETENTION_S)
@@ -41,18 +41,21 @@
         self._waited_at_s[name] = now_s
 
     def waiting_here(self) -> list[str]:
-        """Return the services for which requests waited here lately."""
+        """Return the services for which requests recently waited at this entry."""
         since_s = boot_s() - WAITING_RETENTION_S
         return sorted(
             name for name, at_s in self._waited_at_s.items() if at_s >= since_s
         )
 
     def note_waiting_at(self, entry: str, names: t.Iterable[str]) -> None:
-        """Note for which services requests wait at another entry."""
+        """Store the services for which requests wait at another entry."""
         self._elsewhere[entry] = frozenset(names)
 
     def is_waiting_elsewhere(self, name: str) -> bool:
-        """Whether another entry lacks slots itself, so that it needs its own."""
+        """Whether requests for a service wait at another live entry.
+
+        That entry then needs all of its own slots.
+        """
         return any(
             name in self._elsewhere.get(entry, ())
             for entry in self._entries()
