--- a/src/streamthread/requests/directory.py
+++ b/src/streamthread/requests/directory.py
@@ -1,4 +1,4 @@
-"""Which upstreams may take new work for a service, and the health of each."""
+"""Lists the upstreams that may accept requests for a service, with their health."""
 
 import typing as t
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class _Inputs:
-    """What a service's list of upstreams was made from."""
+    """The inputs from which a list of upstreams was computed."""
 
     spec: ServiceSpec
     view_version: int
@@ -30,17 +30,17 @@
 
 @attrs.frozen
 class _Listing:
-    """The upstreams of a pool, good until an input changes."""
+    """The cached upstreams of a pool, valid until an input changes."""
 
     inputs: _Inputs
     upstreams: list[Upstream]
 
 
 class UpstreamDirectory:
-    """Lists upstreams from pool views, the membership and leaving marks.
+    """Computes lists of upstreams from pool views, membership and leaving marks.
 
     :param entry: this entry's id.
-    :param entries: returns the live entries' ids, sorted, this one's among them.
+    :param entries: returns the sorted ids of the live entries, including this one.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         entries: t.Callable[[], tuple[str, ...]],
     ) -> None:
         self.health_by_id: dict[str, UpstreamHealth] = {}
-        """By instance id; an upstream that was listed once keeps its entry."""
+        """Health by instance id; it is kept after an upstream leaves the list."""
         self._entry = entry
         self._catalog = catalog
         self._views = views
@@ -60,17 +60,17 @@
         self._mark_count = 0
 
     def health(self, upstream: Upstream) -> UpstreamHealth:
-        """Return the health of an upstream that was listed."""
+        """Return the health of an upstream that this directory has listed."""
         return self.health_by_id[upstream.instance_id]
 
     def note_leaving(self, instance_id: str, boot: int) -> None:
-        """Leave an instance out until it has booted anew."""
+        """Exclude an instance until it has a later boot."""
         health = self.health_by_id.setdefault(instance_id, UpstreamHealth())
         health.left_boot = max(health.left_boot, boot)
         self._mark_count += 1
 
     def upstreams_for(self, spec: ServiceSpec) -> list[Upstream]:
-        """Return the upstreams that may take new work for a service."""
+        """Return the upstreams that may accept new requests for a service."""
         view = self._views.view(spec.pool)
         if view is None:
             return []
--- a/src/streamthread/requests/upstreams.py
+++ b/src/streamthread/requests/upstreams.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of each upstream, and which one takes a request."""
+"""Tracks the health of each upstream, and chooses the upstream for a request."""
 
 import random
 import typing as t
@@ -14,14 +14,15 @@
 MAX_EJECTION_S = 60.0
 MAX_EJECTED_FRACTION = 0.5
 FULL_PAUSE_S = 0.02
+"""Mean pause after an upstream refused a request because it had no free slot."""
 
 
 @attrs.frozen
 class Upstream:
-    """One upstream as it can be chosen.
+    """An upstream that may be chosen.
 
-    :param boot: which run of it; a leaving mark holds for one boot.
-    :param limit: the most requests that this entry may have there at once.
+    :param boot: boot number of the instance; a leaving mark is valid for one boot.
+    :param limit: maximum number of requests in flight there from this entry.
     :param own: how many of its slots belong to this entry.
     """
 
@@ -43,7 +44,10 @@
 
 @attrs.define
 class UpstreamHealth:
-    """In-flight requests, refusals and failures of one upstream, seen here."""
+    """Requests in flight, refusals and failures of one upstream, as seen here.
+
+    :param left_boot: the latest boot of the instance that announced its leaving.
+    """
 
     in_flight: int = 0
     failures: int = 0
@@ -53,12 +57,12 @@
     left_boot: int = 0
 
     def note_success(self) -> None:
-        """Trust it again."""
+        """Reset the failure count and the ejection backoff."""
         self.failures = 0
         self.ejections = 0
 
     def note_failure(self, now_s: float) -> bool:
-        """Count a failure; return whether it is ejected by it."""
+        """Count a failure; return whether it ejects the upstream."""
         self.failures += 1
         if self.failures < FAILURES_BEFORE_EJECTION:
             return False
@@ -69,11 +73,11 @@
         return True
 
     def note_full(self, now_s: float) -> None:
-        """It refused for want of a slot: others use it too."""
+        """Pause after a refusal: requests of other entries occupy the slots."""
         self.full_until_s = now_s + FULL_PAUSE_S * random.uniform(0.5, 1.5)
 
     def is_ejected(self, now_s: float) -> bool:
-        """Whether it is left out; afterwards one failure ejects it again."""
+        """Whether it is ejected; after the ejection one failure ejects it again."""
         return now_s < self.ejected_until_s
 
 
@@ -85,11 +89,14 @@
     may_borrow: bool = True,
     now_s: float | None = None,
 ) -> Choice | None:
-    """Return the upstream for a request, or None while all are full.
+    """Return the upstream for a request, or None if none can be used.
+
+    An upstream with an own free slot comes first. Among several, the least loaded one
+    is chosen, then one in the same hall, then a random one. Ejected upstreams are
+    left out, unless more than ``MAX_EJECTED_FRACTION`` of all are ejected.
 
-    Own slots come first: the least loaded upstream wins, of equals one in the
-    same hall, else one at random. Ejected ones are left out, unless too many
-    would be.
+    :param tried: ids of upstreams to leave out.
+    :param may_borrow: whether slots of other entries may be used.
     """
     now_s = boot_s() if now_s is None else now_s
     usable = [
