--- a/src/streamthread/requests/answers.py
+++ b/src/streamthread/requests/answers.py
@@ -1,4 +1,4 @@
-"""Passing an upstream's answer on to the caller, whole or visibly broken."""
+"""Relays upstreams' answers to callers, either complete or visibly broken off."""
 
 import asyncio
 
@@ -38,7 +38,7 @@
 
 @attrs.define
 class RecordedAnswer:
-    """A small answer, kept so that a repeated key gets it again."""
+    """Records a small answer, which is returned again when its key is repeated."""
 
     began: bool = False
     complete: bool = False
@@ -47,18 +47,18 @@
     body: bytearray = attrs.field(factory=bytearray)
 
     def begin(self, reply: aiohttp.ClientResponse) -> None:
-        """Note the head of the answer."""
+        """Record the status and content type of the answer."""
         self.began = True
         self.status = reply.status
         self.content_type = reply.headers.get("Content-Type", "")
 
     def add(self, chunk: bytes) -> None:
-        """Note a part of the body, as long as it is small."""
+        """Record a part of the body, unless it already exceeds the size limit."""
         if len(self.body) <= MAX_RECORDED_BYTES:
             self.body += chunk
 
     def final_claim(self, claim: Claim) -> Claim:
-        """Return the claim's row after the answer."""
+        """Return the claim as it is stored after the answer."""
         is_recorded = self.complete and len(self.body) <= MAX_RECORDED_BYTES
         return attrs.evolve(
             claim,
@@ -76,13 +76,14 @@
     answer: RecordedAnswer | None,
     close: bool,
 ) -> web.StreamResponse:
-    """Pass an answer on as it comes; one that breaks off never ends clean.
+    """Stream an answer to the caller.
 
-    A caller that reads too slowly is cut off at the deadline, like a slow
-    upstream: neither keeps a slot for longer.
+    If the answer breaks off, the caller's connection is aborted, so that a partial
+    answer never looks complete. The deadline also ends a transfer to a caller that
+    reads too slowly, or from a slow upstream: neither occupies a slot for longer.
 
-    :param answer: keeps a copy, if given.
-    :param close: whether the caller's connection ends with it.
+    :param answer: records a copy of the answer, if given.
+    :param close: whether to close the caller's connection after the answer.
     """
     response = _response_head(reply)
     if close:
--- a/src/streamthread/requests/outcomes.py
+++ b/src/streamthread/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told: typed outcomes, headers and problem documents."""
+"""Outcomes, headers and problem documents of the answers to callers."""
 
 import enum
 import json
@@ -26,15 +26,15 @@
 REPLAYED_HEADER = "Streamthread-Replayed"
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 NOT_STARTED_HEADER = "Streamthread-Not-Started"
-"""An upstream sets it on a refusal to say that nothing was started."""
+"""Set by an upstream on a refusal if it did not start the request."""
 LEAVING_HEADER = "Streamthread-Leaving"
-"""An upstream sets it on any answer to say that it is about to leave."""
+"""Set by an upstream on any answer if it is about to leave."""
 
 
 class Outcome(enum.Enum):
-    """What became of a request.
+    """The outcome of a request.
 
-    NOT_RUN is said only when it is certain.
+    NOT_RUN is reported only if it is certain that no upstream ran the request.
     """
 
     DONE = "done"
@@ -44,9 +44,9 @@
 
 @attrs.frozen
 class Problem(Exception):  # noqa: N818
-    """A final answer that is not an upstream's (RFC 9457 problem document).
+    """A final answer that this entry generates (RFC 9457 problem document).
 
-    :param retry_after_s: when to come back; None where that is no use.
+    :param retry_after_s: when to retry; None if a retry does not help.
     """
 
     status: int
@@ -58,7 +58,7 @@
 
 
 def problem_response(problem: Problem) -> web.Response:
-    """Return the answer that carries a problem."""
+    """Return the HTTP response for a problem."""
     headers = {OUTCOME_HEADER: problem.outcome.value}
     if problem.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(problem.retry_after_s)))
