--- a/src/streamthread/requests/parse.py
+++ b/src/streamthread/requests/parse.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to what is to be carried to an upstream."""
+"""Validates callers' HTTP requests and prepares them for an upstream."""
 
 import hashlib
 import typing as t
@@ -27,10 +27,11 @@
 
 @attrs.frozen
 class Call:
-    """One caller's request, checked.
+    """A validated request of a caller.
 
-    :param path: below the service, with its query.
-    :param deadline_at_s: on this process's boot clock.
+    :param path: path below the service, with the query string.
+    :param repeat_safe: whether the request may run more than once.
+    :param deadline_at_s: deadline on this process's boot clock.
     """
 
     service: str
@@ -45,17 +46,17 @@
     deadline_at_s: float
 
     def digest(self) -> str:
-        """Return what tells two requests with one key apart."""
+        """Return a digest that distinguishes different requests with the same key."""
         head = f"{self.method} {self.path}\0".encode()
         return hashlib.sha256(head + self.body).hexdigest()
 
     def left_s(self) -> float:
-        """Return the time left to the deadline."""
+        """Return the time left until the deadline."""
         return self.deadline_at_s - boot_s()
 
 
 class TokenAuthenticator:
-    """Knows the teams by their tokens, as the configuration has them."""
+    """Identifies teams by their tokens, from the active configuration."""
 
     def __init__(self, configuration: ConfigurationService) -> None:
         self._active = configuration.active
@@ -67,7 +68,7 @@
             self._teams = None
 
     def team_of(self, request: web.Request) -> str:
-        """Return the caller's team; without any token configured, none is asked.
+        """Return the caller's team, or an empty string if no token is configured.
 
         :raises Problem: no team has this token.
         """
@@ -89,9 +90,9 @@
 async def parse_call(
     request: web.Request, active: ActiveConfiguration, authenticator: TokenAuthenticator
 ) -> Call:
-    """Check a request and read its body.
+    """Validate a request and read its body.
 
-    :raises Problem: it cannot be carried out as it is; it was not run.
+    :raises Problem: the request cannot be dispatched; it was not run.
     """
     service = request.match_info["service"]
     spec = active.spec(f"service/{service}", ServiceSpec)
@@ -140,14 +141,18 @@
         raise _refusal(
             400,
             "bad-deadline",
-            f"{DEADLINE_HEADER} is {text!r}",
-            "give seconds above 0",
+            f"invalid value of {DEADLINE_HEADER}: {text!r}",
+            "send a number of seconds greater than 0",
         )
     return min(requested_s, spec.deadline_s)
 
 
 def _is_repeat_safe(request: web.Request, spec: ServiceSpec) -> bool:
-    """The stricter of the route's mark and the request's wins."""
+    """Whether the request may run more than once.
+
+    The longest matching route decides, or the method if no route matches. The
+    request's own header can only make the result stricter.
+    """
     safe = request.method == "GET"
     path = "/" + request.match_info["path"]
     matching = [route for route in spec.routes if path.startswith(route.prefix)]
@@ -159,14 +164,17 @@
 def _check_unsafe(request: web.Request, key: str) -> None:
     if request.method != "POST":
         raise _refusal(
-            400, "unsafe-method", "it may not be repeated", "send it as POST"
+            400,
+            "unsafe-method",
+            "a request that is not safe to repeat must be a POST",
+            "send it as POST",
         )
     if not key or len(key) > MAX_KEY_LENGTH:
         raise _refusal(
             400,
             "no-idempotency-key",
-            f"a request that may not be repeated needs {IDEMPOTENCY_HEADER}",
-            f"send a key of 1 to {MAX_KEY_LENGTH} characters, one a request",
+            f"a request that is not safe to repeat needs {IDEMPOTENCY_HEADER}",
+            f"send a unique key of 1 to {MAX_KEY_LENGTH} characters for each request",
         )
 
 
