--- a/src/streamthread/requests/__init__.py
+++ b/src/streamthread/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' requests: choice of upstream, limits, retries, at most once."""
+"""Callers' requests: upstream choice, limits, retries and at-most-once dispatch."""
 
 from .claims import Claim
 from .claims import claim_key
--- a/src/streamthread/requests/service.py
+++ b/src/streamthread/requests/service.py
@@ -1,4 +1,4 @@
-"""The callers' port: takes requests in and counts their outcomes."""
+"""Serves callers' requests on the callers' port and counts their outcomes."""
 
 import asyncio
 import typing as t
@@ -23,19 +23,23 @@
 __all__ = ["RequestService"]
 
 SHUTDOWN_TIMEOUT_S = 0.1
-"""After :meth:`RequestService.finish` has waited, nothing should be left."""
+"""Short, because :meth:`RequestService.finish` has already waited for requests."""
 
 FINISH_POLL_S = 0.02
-"""How often :meth:`RequestService.finish` looks whether all has ended."""
+"""How often :meth:`RequestService.finish` checks whether all requests have ended."""
 
-CUT_OFF_RETRY_S = 1.0
-"""Retry-After of a refusal here; the balancer chooses another entry meanwhile."""
+OUTDATED_RETRY_S = 1.0
+"""Retry-After while the configuration here may be outdated.
+
+Meanwhile the balancer chooses another entry.
+"""
 
 
 class RequestService(Service):
-    """Serves callers.
+    """The HTTP server for callers.
 
-    :param is_current: whether the configuration here is fit for new requests.
+    :param is_current: returns whether this entry's configuration is current enough
+        for new requests.
     """
 
     def __init__(
@@ -79,13 +83,16 @@
         self.port = self._runner.addresses[0][1]
 
     async def on_stop(self) -> None:
-        """Close what is left."""
+        """Close the remaining connections of callers and to upstreams."""
         if self._runner is not None:
             await self._runner.cleanup()
         await self._dispatcher.close()
 
     async def finish(self, limit_s: float) -> int:
-        """Take no new connections, end what is in flight; return what was cut."""
+        """Refuse new connections and wait for the requests in flight.
+
+        :return: how many requests are still in flight after ``limit_s``.
+        """
         if self._site is not None:
             await self._site.stop()
         give_up_at_s = boot_s() + limit_s
@@ -109,7 +116,7 @@
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         try:
-            self._refuse_if_cut_off()
+            self._require_current_configuration()
             call = await parse_call(
                 request, self._configuration.active, self._authenticator
             )
@@ -121,7 +128,7 @@
             self._close_if_stopping(response)
             return response
 
-    def _refuse_if_cut_off(self) -> None:
+    def _require_current_configuration(self) -> None:
         if self._is_current():
             return
         raise Problem(
@@ -130,7 +137,7 @@
             detail="this entry cannot tell whether its configuration is current",
             remedy="send it again: the balancer chooses another entry",
             outcome=Outcome.NOT_RUN,
-            retry_after_s=CUT_OFF_RETRY_S,
+            retry_after_s=OUTDATED_RETRY_S,
         )
 
     def _close_if_stopping(self, response: web.StreamResponse) -> None:
--- a/src/streamthread/requests/sweeper.py
+++ b/src/streamthread/requests/sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes claims whose keys nobody will repeat any more."""
+"""Deletes claims that are older than the retention period."""
 
 import time
 import typing as t
@@ -17,15 +17,15 @@
 __all__ = ["ClaimSweeper", "SweepSettings"]
 
 PARTITION_COUNT = 16
-"""The claims are swept in so many parts, by the first hexadecimal digit."""
+"""Claims are swept in partitions, one per first hexadecimal digit of the key hash."""
 
 
 @attrs.frozen
 class SweepSettings:
-    """How old claims go.
+    """Retention of claims and rate of sweeping.
 
-    :param kept_s: how long a key is remembered; callers must not repeat later.
-    :param page_every_s: one page of 500 rows is read so often.
+    :param kept_s: how long a claim is retained; callers must not repeat a key later.
+    :param page_every_s: interval at which one page of 500 rows is read.
     """
 
     kept_s: float = 86_400.0
@@ -33,9 +33,10 @@
 
 
 class ClaimSweeper(Service):
-    """Goes round the parts of the claims whose shards are held here.
+    """Sweeps in turn the claim partitions whose shards this daemon holds.
 
-    :param wall_s: the wall clock; retention is long against clocks' differences.
+    :param wall_s: the wall clock; the retention period is long compared to the
+        differences between clocks.
     """
 
     def __init__(
@@ -61,10 +62,10 @@
             try:
                 await self.sweep_page()
             except StoreUnavailableError as error:
-                self.log.info("claims not swept: %s", error)
+                self.log.info("could not sweep old claims: %s", error)
 
     async def sweep_page(self) -> None:
-        """Read one page of the part at hand and delete what is old in it."""
+        """Read one page of the current partition and delete its expired claims."""
         prefix = f"claim/{self._partition:x}"
         if not self._leases.holds(prefix):
             self._next_partition()
