--- a/src/streamthread/requests/service.py
+++ b/src/streamthread/requests/service.py
@@ -91,7 +91,8 @@
     async def finish(self, limit_s: float) -> int:
         """Refuse new connections and wait for the requests in flight.
 
-        :return: how many requests are still in flight after ``limit_s``.
+        :return: how many requests are still in flight after ``limit_s``; they will be
+            cut off.
         """
         if self._site is not None:
             await self._site.stop()
