--- a/src/streamthread/requests/tests/test_choice.py
+++ b/src/streamthread/requests/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of upstream, the queue for slots, the retry budget."""
+"""Tests of the upstream choice, the slot queue and the retry budget."""
 
 import asyncio
 import collections
@@ -45,7 +45,9 @@
 
 class TestChoose:
     @hypothesis.given(loads)
-    def test_takes_the_least_loaded_and_never_a_full_one(self, load: list[int]) -> None:
+    def test_chooses_the_least_loaded_and_never_a_full_upstream(
+        self, load: list[int]
+    ) -> None:
         upstreams, health = _upstreams(len(load)), _health(len(load))
         for name, count in zip(health, load, strict=True):
             health[name].in_flight = count
@@ -61,18 +63,18 @@
             chosen = choose(_upstreams(4), _health(4), "hann", now_s=0.0)
             assert chosen is not None and chosen.upstream.hall == "hann"
 
-    def test_ejects_what_fails_everything_and_tries_it_again_later(self) -> None:
+    def test_ejects_a_failing_upstream_and_retries_it_later(self) -> None:
         upstreams, health = _upstreams(2), _health(2)
         _eject(health["u1"], 0.0)
-        assert _names(upstreams, health, 1.0) == {"u0"}
-        assert _names(upstreams, health, 3.0) == {"u0", "u1"}
+        assert _chosen_ids(upstreams, health, 1.0) == {"u0"}
+        assert _chosen_ids(upstreams, health, 3.0) == {"u0", "u1"}
         assert health["u1"].note_failure(3.0), "one more failure ejects it again"
 
     def test_never_ejects_more_than_half(self) -> None:
         upstreams, health = _upstreams(4), _health(4)
         for name in ("u0", "u1", "u2"):
             _eject(health[name], 0.0)
-        assert _names(upstreams, health, 1.0) == set(health)
+        assert _chosen_ids(upstreams, health, 1.0) == set(health)
 
     def test_own_slots_come_before_borrowed_ones(self) -> None:
         upstreams, health = _upstreams(2, own=1), _health(2)
@@ -87,11 +89,11 @@
         assert borrowed is not None and borrowed.borrowed
         assert choose(upstreams, health, "hann", may_borrow=False, now_s=0.0) is None
 
-    def test_full_one_rests_for_a_moment(self) -> None:
+    def test_full_upstream_is_skipped_briefly(self) -> None:
         upstreams, health = _upstreams(2), _health(2)
         health["u0"].note_full(0.0)
-        assert _names(upstreams, health, 0.0) == {"u1"}
-        assert _names(upstreams, health, 1.0) == {"u0", "u1"}
+        assert _chosen_ids(upstreams, health, 0.0) == {"u1"}
+        assert _chosen_ids(upstreams, health, 1.0) == {"u0", "u1"}
 
 
 class TestOwnSlots:
@@ -126,9 +128,9 @@
         assert borrowing.may_try(1.015)
 
 
-def _names(upstreams: list[Upstream], health: Health, now_s: float) -> set[str]:
+def _chosen_ids(upstreams: list[Upstream], health: Health, now_s: float) -> set[str]:
     chosen = [choose(upstreams, health, "surrey", now_s=now_s) for _ in range(60)]
-    return {one.upstream.instance_id for one in chosen if one is not None}
+    return {choice.upstream.instance_id for choice in chosen if choice is not None}
 
 
 class TestSlotQueue:
@@ -137,12 +139,12 @@
         free = collections.deque[int]()
         served: list[int] = []
 
-        async def one(number: int) -> None:
+        async def wait_for_slot(number: int) -> None:
             taken = await queue.acquire(lambda: free.popleft() if free else None, 1e12)
             assert taken is not None
             served.append(number)
 
-        waiting = [asyncio.create_task(one(number)) for number in range(5)]
+        waiting = [asyncio.create_task(wait_for_slot(number)) for number in range(5)]
         for slot in range(5):
             await asyncio.sleep(0)
             free.append(slot)
@@ -150,20 +152,22 @@
         await asyncio.gather(*waiting)
         assert served == [0, 1, 2, 3, 4]
 
-    async def test_teams_take_turns_by_their_weights(self) -> None:
-        """One sends 30 at once, another 10, a third of double weight 20."""
+    async def test_teams_are_served_by_weight(self) -> None:
+        """One team sends 30 requests at once, another 10, one of double weight 20."""
         queue = SlotQueue(limit=100, poll_s=10.0)
         free = collections.deque[int]()
         served: list[str] = []
 
-        async def one(team: str, weight: float) -> None:
+        async def wait_for_slot(team: str, weight: float) -> None:
             await queue.acquire(
                 lambda: free.popleft() if free else None, 1e12, False, team, weight
             )
             served.append(team)
 
         sent = [("much", 1.0)] * 30 + [("little", 1.0)] * 10 + [("heavy", 2.0)] * 20
-        waiting = [asyncio.create_task(one(team, weight)) for team, weight in sent]
+        waiting = [
+            asyncio.create_task(wait_for_slot(team, weight)) for team, weight in sent
+        ]
         await asyncio.sleep(0)
         while len(served) < len(sent):
             free.append(1)
@@ -175,20 +179,20 @@
         jain = sum(shares) ** 2 / (3 * sum(share**2 for share in shares))
         assert jain >= 0.99
 
-    async def test_one_that_was_refused_goes_first(self) -> None:
+    async def test_refused_request_goes_first(self) -> None:
         queue = SlotQueue(limit=10, poll_s=10.0)
         free = collections.deque[int]()
         served: list[str] = []
 
-        async def one(name: str, in_front: bool) -> None:
+        async def wait_for_slot(name: str, in_front: bool) -> None:
             await queue.acquire(
                 lambda: free.popleft() if free else None, 1e12, in_front
             )
             served.append(name)
 
-        tasks = [asyncio.create_task(one("first", False))]
+        tasks = [asyncio.create_task(wait_for_slot("first", False))]
         await asyncio.sleep(0)
-        tasks.append(asyncio.create_task(one("refused", True)))
+        tasks.append(asyncio.create_task(wait_for_slot("refused", True)))
         await asyncio.sleep(0)
         free.extend([1, 2])
         queue.release()
@@ -201,7 +205,7 @@
         assert await queue.acquire(lambda: None, loop.time() + 0.05) is None
         assert len(queue) == 0
 
-    async def test_expected_wait_follows_the_pace(self) -> None:
+    async def test_expected_wait_follows_the_drain_rate(self) -> None:
         now_s = 0.0
         queue = SlotQueue(limit=10, poll_s=0.001, clock_s=lambda: now_s)
         free: list[int] = []
@@ -226,8 +230,13 @@
 
 
 class TestDeadlines:
-    async def test_request_that_could_not_end_in_time_is_refused_at_once(self) -> None:
-        """Its slot would be used in vain: it runs for a second, has half of one."""
+    async def test_request_that_cannot_end_by_its_deadline_is_rejected_at_once(
+        self,
+    ) -> None:
+        """Requests run for a second and this one has half a second left.
+
+        It would occupy a slot without an answer in time.
+        """
         world = World(1)
         daemon = world.daemons[0]
         world.membership.put(
--- a/src/streamthread/requests/tests/test_claims.py
+++ b/src/streamthread/requests/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims in groups: one winner a key, whatever is lost on the way."""
+"""Claims in batches: each key is claimed at most once, also when replies are lost."""
 
 import asyncio
 import collections
@@ -33,60 +33,63 @@
 
 
 async def _service(tables: MemoryTables) -> tuple[FaultyTables, ClaimService]:
-    way = FaultyTables(tables, lambda way, sent: None)
+    faulty_tables = FaultyTables(tables, lambda faulty_tables, sent: None)
     clock = FakeClock()
-    committer = Committer(way, 2.0, clock, clock.sleep)
-    service = ClaimService(way, committer, SETTINGS, lambda: 1)
+    committer = Committer(faulty_tables, 2.0, clock, clock.sleep)
+    service = ClaimService(faulty_tables, committer, SETTINGS, lambda: 1)
     await service.start()
-    return way, service
+    return faulty_tables, service
 
 
 class TestClaim:
     @hypothesis.settings(max_examples=40)
     @hypothesis.given(requests, faults)
-    def test_each_key_is_won_at_most_once(
-        self, wanted: list[tuple[int, str]], shown: list[str]
+    def test_each_key_is_claimed_at_most_once(
+        self, claim_requests: list[tuple[int, str]], fault_sequence: list[str]
     ) -> None:
         async def scenario() -> None:
             tables = MemoryTables()
             entries = [await _service(tables) for _ in range(3)]
-            wins: collections.Counter[str] = collections.Counter()
+            claim_counts: collections.Counter[str] = collections.Counter()
 
-            async def one(entry: int, key: str) -> None:
+            async def claim_once(entry: int, key: str) -> None:
                 try:
                     result = await entries[entry][1].claim(key, _claim())
                 except StoreUnavailableError:
                     return
                 if result.existing is None:
-                    wins[key] += 1
-
-            tasks = [asyncio.create_task(one(entry, key)) for entry, key in wanted]
-            for number, fault in enumerate(shown):
-                way = entries[number % 3][0]
-                way.down = fault == "down"
-                way.lose_replies += fault == "lose"
+                    claim_counts[key] += 1
+
+            tasks = [
+                asyncio.create_task(claim_once(entry, key))
+                for entry, key in claim_requests
+            ]
+            for number, fault in enumerate(fault_sequence):
+                faulty_tables = entries[number % 3][0]
+                faulty_tables.down = fault == "down"
+                faulty_tables.lose_replies += fault == "lose"
                 await asyncio.sleep(0)
-            for way, _ in entries:
-                way.down = False
+            for faulty_tables, _ in entries:
+                faulty_tables.down = False
             await asyncio.gather(*tasks)
             for _, service in entries:
                 await service.stop()
-            assert all(count == 1 for count in wins.values())
+            assert all(count == 1 for count in claim_counts.values())
 
         asyncio.run(scenario())
 
-    async def test_second_one_learns_the_state_of_the_first(self) -> None:
+    async def test_second_claim_returns_the_outcome_of_the_first(self) -> None:
         tables = MemoryTables()
         _, first = await _service(tables)
         _, second = await _service(tables)
-        won = await first.claim("k", _claim())
-        assert won.existing is None
+        claimed = await first.claim("k", _claim())
+        assert claimed.existing is None
         done = Claim("d", "entry", 0.0, ClaimState.DONE, 200, "text/plain", "6869")
-        first.record_outcome("k", done, won.version)
+        first.record_outcome("k", done, claimed.version)
         while first.pending_outcomes:
             await asyncio.sleep(0.01)
-        while (known := (await second.claim("k", _claim())).existing) != done:
-            assert known is not None
+        while (existing_claim := (await second.claim("k", _claim())).existing) != done:
+            assert existing_claim is not None
             await asyncio.sleep(0.01)
         await first.stop()
         await second.stop()
@@ -94,12 +97,12 @@
     async def test_key_that_was_not_run_may_be_claimed_again(self) -> None:
         tables = MemoryTables()
         _, service = await _service(tables)
-        won = await service.claim("k", _claim())
-        given_up = Claim("d", "entry", 0.0, ClaimState.NOT_RUN)
-        service.record_outcome("k", given_up, won.version)
+        claimed = await service.claim("k", _claim())
+        not_run = Claim("d", "entry", 0.0, ClaimState.NOT_RUN)
+        service.record_outcome("k", not_run, claimed.version)
         while (again := await service.claim("k", _claim())).existing is not None:
             await asyncio.sleep(0.01)
-        assert again.version > won.version
+        assert again.version > claimed.version
         await service.stop()
 
     async def test_concurrent_claims_share_commits(self) -> None:
@@ -111,9 +114,9 @@
         assert service.commits <= 4
         await service.stop()
 
-    async def test_store_that_is_down_refuses(self) -> None:
-        way, service = await _service(MemoryTables())
-        way.down = True
+    async def test_claim_fails_while_the_store_is_down(self) -> None:
+        faulty_tables, service = await _service(MemoryTables())
+        faulty_tables.down = True
         with pytest.raises(StoreUnavailableError):
             await service.claim("k", _claim())
         await service.stop()
--- a/src/streamthread/requests/tests/test_lost_upstreams.py
+++ b/src/streamthread/requests/tests/test_lost_upstreams.py
@@ -1,4 +1,7 @@
-"""A request under which upstreams break is not sent to one after the other."""
+"""A request that makes upstreams fail is sent to two upstreams at most.
+
+Without this limit, retries would make all upstreams fail, one after another.
+"""
 
 import typing as t
 
@@ -23,7 +26,7 @@
 
 
 class _Router:
-    """Has another upstream each time."""
+    """Returns a slot on another upstream for each call."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -42,8 +45,10 @@
     deadline_at_s = 0.0
 
 
-class TestRequestThatBreaksUpstreams:
-    async def test_is_given_up_after_two(self, monkeypatch: pytest.MonkeyPatch) -> None:
+class TestRequestThatLosesAnswers:
+    async def test_is_not_sent_to_a_third_upstream(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         router = _Router()
         dispatcher = Dispatcher(t.cast(t.Any, router), lambda: False)
 
