--- a/src/streamthread/requests/router.py
+++ b/src/streamthread/requests/router.py
@@ -86,13 +86,14 @@
     ) -> Slot:
         """Return a slot on an upstream; the caller must :meth:`release` it.
 
-        :param tried: ids of the upstreams that recently refused this request. It is
-            cleared when no upstream can be chosen.
-        :param is_retry: whether an upstream already refused the request; it then
-            goes to the front of the queue.
+        :param tried: ids of the upstreams that recently refused or failed this
+            request. It is cleared when no upstream can be chosen.
+        :param is_retry: whether an upstream was already tried; the request then goes
+            to the front of the queue.
         :param team: the caller's team; the queue is fair between teams.
         :raises Problem: no slot became free in time (outcome not-run). It is raised
-            at once if the request could not end before its deadline.
+            at once if no upstream is in service, the queue is full, or the request
+            could not end before its deadline.
         """
         queue = self._queue(name, spec)
         slot = (
