--- a/src/streamthread/requests/answers.py
+++ b/src/streamthread/requests/answers.py
@@ -1,4 +1,4 @@
-"""Relays upstreams' answers to callers, either complete or visibly broken off."""
+"""Relays upstreams' answers to callers; one that breaks off never looks complete."""
 
 import asyncio
 
--- a/src/streamthread/requests/claims.py
+++ b/src/streamthread/requests/claims.py
@@ -40,7 +40,7 @@
 """When more outcomes wait to be written, the oldest is dropped."""
 
 FAILED_COMMIT_PAUSE_S = 0.5
-"""How long a commit slot stays blocked after a commit failed."""
+"""After a commit fails, its place among the parallel commits stays taken this long."""
 
 
 class ClaimState(enum.Enum):
@@ -56,7 +56,8 @@
 class Claim:
     """The stored row of one key.
 
-    :param digest: digest of method, path and body; a key identifies one request.
+    :param digest: digest of method, path and body. It shows whether a key is repeated
+        for the same request; a key must not be used for a different one.
     :param body_hex: the body of the answer, if it is small enough to be stored.
     """
 
@@ -142,7 +143,8 @@
         If the caller is cancelled while it waits and the claim is committed, the
         row is then marked not-run.
 
-        :raises StoreUnavailableError: the key was not claimed.
+        :raises StoreUnavailableError: the key was not claimed, or it is unknown
+            whether it was; if it was, the row is then marked not-run.
         """
         done: asyncio.Future[ClaimResult] = asyncio.get_running_loop().create_future()
         self._claims.append(_PendingWrite(key, claim, ABSENT, done))
--- a/src/streamthread/requests/directory.py
+++ b/src/streamthread/requests/directory.py
@@ -64,7 +64,7 @@
         return self.health_by_id[upstream.instance_id]
 
     def note_leaving(self, instance_id: str, boot: int) -> None:
-        """Exclude an instance until it has a later boot."""
+        """Leave an instance out of the lists until it has booted again."""
         health = self.health_by_id.setdefault(instance_id, UpstreamHealth())
         health.left_boot = max(health.left_boot, boot)
         self._mark_count += 1
--- a/src/streamthread/requests/dispatch.py
+++ b/src/streamthread/requests/dispatch.py
@@ -31,7 +31,8 @@
 
 MAX_LOST_ANSWERS = 2
 """After this many lost answers, a request is not sent to another upstream: it may be
-what makes them fail. With the retry budget alone, one such request broke eleven."""
+what makes them fail. With the retry budget as the only limit, one such request made
+eleven upstreams fail."""
 
 
 class _NotStartedError(Exception):
@@ -56,7 +57,10 @@
         self._session: aiohttp.ClientSession | None = None
 
     def open(self) -> None:
-        """Create the HTTP client without a connection limit; the router limits them."""
+        """Create the HTTP client for requests to upstreams.
+
+        It has no connection limit, because the router limits the requests in flight.
+        """
         connector = aiohttp.TCPConnector(limit=0)
         self._session = aiohttp.ClientSession(
             connector=connector, auto_decompress=False
@@ -72,6 +76,9 @@
     ) -> web.StreamResponse:
         """Try upstreams until one accepts the request, and relay its answer.
 
+        Once an upstream has accepted the request and begun to answer, no other one is
+        tried.
+
         Once an answer was lost, every failure has the outcome unknown, never
         not-run, because the request may have run.
 
--- a/src/streamthread/requests/router.py
+++ b/src/streamthread/requests/router.py
@@ -89,7 +89,7 @@
         :param tried: ids of the upstreams that recently refused or failed this
             request. It is cleared when no upstream can be chosen.
         :param is_retry: whether an upstream was already tried; the request then goes
-            to the front of the queue.
+            to the front of the queue, because it already had a slot.
         :param team: the caller's team; the queue is fair between teams.
         :raises Problem: no slot became free in time (outcome not-run). It is raised
             at once if no upstream is in service, the queue is full, or the request
@@ -155,9 +155,10 @@
         return Slot(name, chosen.upstream, chosen.borrowed)
 
     def _may_borrow(self, name: str) -> bool:
-        """Whether the service may use slots of other entries now.
+        """Whether requests for the service may use slots of other entries now.
 
-        It may not while another entry has waiting requests and needs its own slots.
+        They may not while requests for it wait at another entry, which then needs its
+        own slots, nor during the backoff after an upstream refused such a request.
         """
         if self._waiting.is_waiting_elsewhere(name):
             return False
@@ -184,7 +185,7 @@
             self._borrowing_backoff(slot.service).note_accepted()
 
     def note_success(self, slot: Slot, run_s: float) -> None:
-        """Record that a request was answered, and how long that took."""
+        """Record an answer, even one that broke off, and how long it took."""
         self._directory.health(slot.upstream).note_success()
         queue = self._queues.get(slot.service)
         if queue is not None:
--- a/src/streamthread/requests/service.py
+++ b/src/streamthread/requests/service.py
@@ -83,7 +83,7 @@
         self.port = self._runner.addresses[0][1]
 
     async def on_stop(self) -> None:
-        """Close the remaining connections of callers and to upstreams."""
+        """Close the remaining connections from callers and to upstreams."""
         if self._runner is not None:
             await self._runner.cleanup()
         await self._dispatcher.close()
@@ -101,7 +101,7 @@
             await asyncio.sleep(FINISH_POLL_S)
         return self.in_flight
 
-    # One request.
+    # Handling of a request.
 
     async def _handle_counted(self, request: web.Request) -> web.StreamResponse:
         self.in_flight += 1
--- a/src/streamthread/requests/slots.py
+++ b/src/streamthread/requests/slots.py
@@ -31,7 +31,7 @@
     """Queues requests while all upstreams of a service are full.
 
     Teams are served by weight (start-time fair queueing): a request's tag is the
-    later of its team's last tag and the last served tag, plus one divided by the
+    larger of its team's last tag and the last served tag, plus one divided by the
     team's weight. A team that sends many requests therefore waits behind its own.
 
     Only the first waiter tries to acquire a slot: when a slot becomes free here, and
@@ -98,7 +98,7 @@
         Returns None after the deadline.
 
         :param in_front: whether the request goes to the front of the queue, because
-            it already left the queue once and an upstream refused it.
+            it already had a slot, whose upstream refused it or failed.
         """
         tag = self._served_tag if in_front else self._next_tag(team, weight)
         sequence = -1 if in_front else next(self._sequences)
@@ -133,7 +133,11 @@
         self.release()
 
     def _note_acquired(self) -> None:
-        """Update the drain rate with the time since the last slot was acquired."""
+        """Update the drain rate with the time since the last slot was acquired.
+
+        Only times in which requests waited throughout count, so the last time is
+        discarded when the queue becomes empty.
+        """
         now_s = self._clock_s()
         if self._last_acquired_s is not None:
             interval_s = now_s - self._last_acquired_s
--- a/src/streamthread/requests/sweeper.py
+++ b/src/streamthread/requests/sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes claims that are older than the retention period."""
+"""Deletes claims past the retention period, after which no key may be repeated."""
 
 import time
 import typing as t
--- a/src/streamthread/requests/upstreams.py
+++ b/src/streamthread/requests/upstreams.py
@@ -91,9 +91,10 @@
 ) -> Choice | None:
     """Return the upstream for a request, or None if none can be used.
 
-    An upstream with an own free slot comes first. Among several, the least loaded one
-    is chosen, then one in the same hall, then a random one. Ejected upstreams are
-    left out, unless more than ``MAX_EJECTED_FRACTION`` of all are ejected.
+    Upstreams with a free slot that belongs to this entry come first. Among several,
+    the least loaded one is chosen; of equally loaded ones, one in the same hall, or
+    else a random one. Ejected upstreams are left out, unless more than
+    ``MAX_EJECTED_FRACTION`` of all are ejected.
 
     :param tried: ids of upstreams to leave out.
     :param may_borrow: whether slots of other entries may be used.
