--- a/src/streamthread/requests/tests/test_choice.py
+++ b/src/streamthread/requests/tests/test_choice.py
@@ -153,7 +153,7 @@
         assert served == [0, 1, 2, 3, 4]
 
     async def test_teams_are_served_by_weight(self) -> None:
-        """One team sends 30 requests at once, another 10, one of double weight 20."""
+        """Three teams send at once: 30 requests, 10, and 20 with double weight."""
         queue = SlotQueue(limit=100, poll_s=10.0)
         free = collections.deque[int]()
         served: list[str] = []
--- a/src/streamthread/requests/tests/test_claims.py
+++ b/src/streamthread/requests/tests/test_claims.py
@@ -1,4 +1,7 @@
-"""Claims in batches: each key is claimed at most once, also when replies are lost."""
+"""Claims in batches.
+
+Each key is claimed at most once, also when the store is down or its replies are lost.
+"""
 
 import asyncio
 import collections
--- a/src/streamthread/requests/tests/test_lost_upstreams.py
+++ b/src/streamthread/requests/tests/test_lost_upstreams.py
@@ -1,6 +1,7 @@
 """A request that makes upstreams fail is sent to two upstreams at most.
 
-Without this limit, retries would make all upstreams fail, one after another.
+The retry budget alone would let such a request make many upstreams fail, one after
+another.
 """
 
 import typing as t
