--- a/src/streamthread/requests/answers.py
+++ b/src/streamthread/requests/answers.py
@@ -1,4 +1,4 @@
-"""Passing an upstream's answer on to the caller, whole or visibly broken."""
+"""Relays upstreams' answers to callers; one that breaks off never looks complete."""
 
 import asyncio
 
@@ -14,10 +14,10 @@
 from .outcomes import OUTCOME_HEADER
 from .parse import Call
 
-__all__ = ["KeptAnswer", "pass_on"]
+__all__ = ["RecordedAnswer", "relay_answer"]
 
 CHUNK_BYTES = 64 * 1024
-KEPT_ANSWER_BYTES = 4096
+MAX_RECORDED_BYTES = 4096
 
 _DROPPED_HEADERS = frozenset(
     {
@@ -37,8 +37,8 @@
 
 
 @attrs.define
-class KeptAnswer:
-    """A small answer, kept so that a repeated key gets it again."""
+class RecordedAnswer:
+    """Records a small answer, which is returned again when its key is repeated."""
 
     began: bool = False
     complete: bool = False
@@ -47,44 +47,45 @@
     body: bytearray = attrs.field(factory=bytearray)
 
     def begin(self, reply: aiohttp.ClientResponse) -> None:
-        """Note the head of the answer."""
+        """Record the status and content type of the answer."""
         self.began = True
         self.status = reply.status
         self.content_type = reply.headers.get("Content-Type", "")
 
     def add(self, chunk: bytes) -> None:
-        """Note a part of the body, as long as it is small."""
-        if len(self.body) <= KEPT_ANSWER_BYTES:
+        """Record a part of the body, unless it already exceeds the size limit."""
+        if len(self.body) <= MAX_RECORDED_BYTES:
             self.body += chunk
 
-    def concluded(self, claim: Claim) -> Claim:
-        """Return the claim's row after the answer."""
-        kept = self.complete and len(self.body) <= KEPT_ANSWER_BYTES
+    def final_claim(self, claim: Claim) -> Claim:
+        """Return the claim as it is stored after the answer."""
+        is_recorded = self.complete and len(self.body) <= MAX_RECORDED_BYTES
         return attrs.evolve(
             claim,
             state=ClaimState.DONE if self.began else ClaimState.UNKNOWN,
             status=self.status,
             content_type=self.content_type,
-            body_hex=self.body.hex() if kept else None,
+            body_hex=self.body.hex() if is_recorded else None,
         )
 
 
-async def pass_on(
+async def relay_answer(
     request: web.Request,
     reply: aiohttp.ClientResponse,
     call: Call,
-    answer: KeptAnswer | None,
+    answer: RecordedAnswer | None,
     close: bool,
 ) -> web.StreamResponse:
-    """Pass an answer on as it comes; one that breaks off never ends clean.
+    """Stream an answer to the caller.
 
-    A caller that reads too slowly is cut off at the deadline, like a slow
-    upstream: neither keeps a slot for longer.
+    If the answer breaks off, the caller's connection is aborted, so that a partial
+    answer never looks complete. The deadline also ends a transfer to a caller that
+    reads too slowly, or from a slow upstream: neither occupies a slot for longer.
 
-    :param answer: keeps a copy, if given.
-    :param close: whether the caller's connection ends with it.
+    :param answer: records a copy of the answer, if given.
+    :param close: whether to close the caller's connection after the answer.
     """
-    response = _head(reply)
+    response = _response_head(reply)
     if close:
         response.force_close()
     if answer is not None:
@@ -106,7 +107,7 @@
     return response
 
 
-def _head(reply: aiohttp.ClientResponse) -> web.StreamResponse:
+def _response_head(reply: aiohttp.ClientResponse) -> web.StreamResponse:
     response = web.StreamResponse(status=reply.status)
     for name, value in reply.headers.items():
         if name.lower() not in _DROPPED_HEADERS:
--- a/src/streamthread/requests/at_most_once.py
+++ b/src/streamthread/requests/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: dispatched by whoever claims their key."""
+"""Dispatches requests that are not safe to repeat, at most once per key."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from ..errors import StoreUnavailableError
-from .answers import KeptAnswer
+from .answers import RecordedAnswer
 from .claims import Claim
 from .claims import claim_key
 from .claims import ClaimResult
@@ -23,11 +23,11 @@
 __all__ = ["AtMostOnce"]
 
 CLAIM_RETRY_S = 2.0
-"""Retry-After where a key could not be claimed, or its first request still runs."""
+"""Retry-After if a key could not be claimed or its first request may still run."""
 
 
 class AtMostOnce:
-    """Claims a request's key before it is dispatched, and keeps what became of it."""
+    """Claims a request's key before dispatching it, then records the outcome."""
 
     def __init__(
         self, daemon_id: str, claims: ClaimService, dispatcher: Dispatcher
@@ -37,27 +37,28 @@
         self._dispatcher = dispatcher
 
     async def dispatch(self, request: web.Request, call: Call) -> web.StreamResponse:
-        """Dispatch a request, or answer with the state of the first of its key.
+        """Dispatch a request, or answer with the state of the key's first request.
 
-        :raises Problem: the key is taken or was not claimed, or as dispatched.
+        :raises Problem: the key is taken or could not be claimed, or the dispatch
+            failed.
         """
         key = claim_key(call.service, call.team, call.idempotency_key)
         claim = Claim(call.digest(), self._daemon_id, time.time())
         result = await self._claim(key, claim, call)
         if result.existing is not None:
-            return _answer_from(result.existing, claim)
+            return _answer_repeated_key(result.existing, claim)
         claim = attrs.evolve(claim, state=ClaimState.UNKNOWN)
         try:
-            answer = KeptAnswer()
+            answer = RecordedAnswer()
             response = await self._dispatcher.dispatch(request, call, answer)
-            claim = answer.concluded(claim)
+            claim = answer.final_claim(claim)
             return response
         except Problem as problem:
             state = ClaimState(problem.outcome.value)
             claim = attrs.evolve(claim, state=state)
             raise
         finally:
-            self._claims.conclude(key, claim, result.version)
+            self._claims.record_outcome(key, claim, result.version)
 
     async def _claim(self, key: str, claim: Claim, call: Call) -> ClaimResult:
         try:
@@ -75,18 +76,18 @@
             ) from error
 
 
-def _answer_from(existing: Claim, asked: Claim) -> web.Response:
-    """Answer a repeated key with the state of the first request."""
-    if existing.digest != asked.digest:
+def _answer_repeated_key(existing: Claim, requested: Claim) -> web.Response:
+    """Answer a repeated key with the outcome of its first request."""
+    if existing.digest != requested.digest:
         raise Problem(
             status=422,
             kind="key-reused",
-            detail="the key was used for another request",
+            detail="the key was already used for a different request",
             remedy="use a new key for each request",
             outcome=Outcome.NOT_RUN,
         )
     if existing.state is ClaimState.DONE and existing.body_hex is not None:
-        return _replayed(existing, existing.body_hex)
+        return _replayed_response(existing, existing.body_hex)
     done = existing.state is ClaimState.DONE
     raise Problem(
         status=409,
@@ -98,8 +99,8 @@
     )
 
 
-def _replayed(existing: Claim, body_hex: str) -> web.Response:
-    """Return the kept answer of the first request again."""
+def _replayed_response(existing: Claim, body_hex: str) -> web.Response:
+    """Return the recorded answer of the first request."""
     return web.Response(
         status=existing.status,
         body=bytes.fromhex(body_hex),
--- a/src/streamthread/requests/claims.py
+++ b/src/streamthread/requests/claims.py
@@ -1,7 +1,8 @@
-"""At most once: a key is claimed in the table before any byte is sent.
+"""Claims idempotency keys in the store, for at-most-once requests.
 
-Claims of concurrent requests, and the outcomes of earlier ones, share
-transactions, so that a burst costs few writes.
+A key is claimed before any byte of its request is sent to an upstream. Claims of
+concurrent requests and outcomes of earlier ones share transactions, so that a burst
+of requests needs few writes.
 """
 
 import asyncio
@@ -35,13 +36,15 @@
     "claim_key",
 ]
 
-OUTCOMES_KEPT = 20_000
-REFUSED_PAUSE_S = 0.5
-"""How long one of the parallel commits rests after the store refused."""
+MAX_PENDING_OUTCOMES = 20_000
+"""When more outcomes wait to be written, the oldest is dropped."""
+
+FAILED_COMMIT_PAUSE_S = 0.5
+"""After a commit fails, its place among the parallel commits stays taken this long."""
 
 
 class ClaimState(enum.Enum):
-    """What is known of the request that holds a key."""
+    """What is known about the request that claimed a key."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -51,10 +54,11 @@
 
 @attrs.frozen
 class Claim:
-    """The row of one key.
+    """The stored row of one key.
 
-    :param digest: of method, path and body: a key stands for one request.
-    :param body_hex: the answer, where it is small enough to be kept.
+    :param digest: digest of method, path and body. It shows whether a key is repeated
+        for the same request; a key must not be used for a different one.
+    :param body_hex: the body of the answer, if it is small enough to be stored.
     """
 
     digest: str
@@ -68,10 +72,10 @@
 
 @attrs.frozen
 class ClaimResult:
-    """Whose a key is.
+    """The result of an attempt to claim a key.
 
-    :param existing: the claim of the first request; None when it is ours.
-    :param version: of the row; the outcome replaces this version.
+    :param existing: the claim of an earlier request; None if this claim succeeded.
+    :param version: version of the row, which the outcome replaces.
     """
 
     existing: Claim | None
@@ -80,10 +84,12 @@
 
 @attrs.frozen
 class ClaimSettings:
-    """Limits of the claims.
+    """Limits of the claim service.
 
-    :param writes_per_s: what all daemons together may spend on claims.
-    :param give_up_s: how long a lost answer is looked for.
+    :param writes_per_s: limit of commits per second for claims, over all daemons.
+    :param parallel_commits: how many commits of one daemon may run at once.
+    :param give_up_s: how long a commit whose reply was lost is read back and sent
+        again before its result counts as unknown.
     """
 
     writes_per_s: float = 200.0
@@ -92,7 +98,7 @@
 
 
 @attrs.define
-class _Waiting:
+class _PendingWrite:
     key: str
     claim: Claim
     version: int
@@ -100,15 +106,15 @@
 
 
 def claim_key(service: str, team: str, idempotency_key: str) -> str:
-    """Return the row key of a caller's key."""
+    """Return the row key for an idempotency key of a team and service."""
     text = f"{service}\0{team}\0{idempotency_key}"
     return f"claim/{hashlib.sha256(text.encode()).hexdigest()[:40]}"
 
 
 class ClaimService(Service):
-    """Commits claims and outcomes in groups, at a bounded rate.
+    """Commits claims and outcomes in batches, at a limited rate.
 
-    :param daemon_count: how many daemons share the writes.
+    :param daemon_count: returns how many daemons share the write limit.
     """
 
     def __init__(
@@ -125,169 +131,176 @@
         self._committer = committer
         self._settings = settings
         self._daemon_count = daemon_count
-        self._claims: collections.deque[_Waiting] = collections.deque()
-        self._outcomes: collections.deque[_Waiting] = collections.deque()
+        self._claims: collections.deque[_PendingWrite] = collections.deque()
+        self._outcomes: collections.deque[_PendingWrite] = collections.deque()
         self._wake = asyncio.Event()
-        self._slots = asyncio.Semaphore(settings.parallel_commits)
+        self._commit_slots = asyncio.Semaphore(settings.parallel_commits)
         self._next_commit_s = 0.0
 
     async def claim(self, key: str, claim: Claim) -> ClaimResult:
-        """Claim a key, or learn who has it.
+        """Claim a key, or return the claim that already exists.
 
-        A claim that is cancelled while it waits is marked not-run later.
+        If the caller is cancelled while it waits and the claim is committed, the
+        row is then marked not-run.
 
-        :raises StoreUnavailableError: the key was not claimed.
+        :raises StoreUnavailableError: the key was not claimed, or it is unknown
+            whether it was; if it was, the row is then marked not-run.
         """
         done: asyncio.Future[ClaimResult] = asyncio.get_running_loop().create_future()
-        self._claims.append(_Waiting(key, claim, ABSENT, done))
+        self._claims.append(_PendingWrite(key, claim, ABSENT, done))
         self._wake.set()
         return await done
 
-    def conclude(self, key: str, claim: Claim, version: int) -> None:
-        """Write the outcome of a claim with one of the next commits.
+    def record_outcome(self, key: str, claim: Claim, version: int) -> None:
+        """Queue the outcome of a claim, to be written with one of the next commits.
 
-        :param version: of the row that it replaces.
+        :param version: version of the row that the outcome replaces.
         """
-        if len(self._outcomes) >= OUTCOMES_KEPT:
+        if len(self._outcomes) >= MAX_PENDING_OUTCOMES:
             self._outcomes.popleft()
             self.outcomes_dropped += 1
-        self._outcomes.append(_Waiting(key, claim, version, None))
+        self._outcomes.append(_PendingWrite(key, claim, version, None))
         self._wake.set()
 
     @property
     def pending_outcomes(self) -> int:
-        """How many outcomes are still to be written."""
+        """How many outcomes have not been written yet."""
         return len(self._outcomes)
 
     @Service.task
-    async def _commit_groups(self) -> None:
+    async def _commit_batches(self) -> None:
         while not self.should_stop:
             await self._wake.wait()
-            await self._keep_pace()
-            await self._slots.acquire()
-            group = self._next_group()
-            if group:
-                self.add_future(self._commit_and_free(group))
+            await self._limit_commit_rate()
+            await self._commit_slots.acquire()
+            batch = self._next_batch()
+            if batch:
+                self.add_future(self._commit_and_release(batch))
             else:
-                self._slots.release()
+                self._commit_slots.release()
                 self._wake.clear()
 
-    async def _keep_pace(self) -> None:
-        """Space the commits so that all daemons stay inside the writes."""
+    async def _limit_commit_rate(self) -> None:
+        """Wait so that all daemons together stay within ``writes_per_s``."""
         now_s = boot_s()
         wait_s = self._next_commit_s - now_s
-        gap_s = self._daemon_count() / self._settings.writes_per_s
-        self._next_commit_s = max(now_s, self._next_commit_s) + gap_s
+        interval_s = self._daemon_count() / self._settings.writes_per_s
+        self._next_commit_s = max(now_s, self._next_commit_s) + interval_s
         if wait_s > 0:
             await asyncio.sleep(wait_s)
 
-    def _next_group(self) -> list[_Waiting]:
-        group: list[_Waiting] = []
+    def _next_batch(self) -> list[_PendingWrite]:
+        batch: list[_PendingWrite] = []
         keys: set[str] = set()
         for queue in (self._claims, self._outcomes):
-            while queue and len(group) < MAX_ROWS_PER_TRANSACTION:
+            while queue and len(batch) < MAX_ROWS_PER_TRANSACTION:
                 if queue[0].key in keys:
                     break
-                waiting = queue.popleft()
-                if waiting.done is not None and waiting.done.done():
+                pending = queue.popleft()
+                if pending.done is not None and pending.done.done():
                     continue
-                keys.add(waiting.key)
-                group.append(waiting)
-        return group
+                keys.add(pending.key)
+                batch.append(pending)
+        return batch
 
-    async def _commit_and_free(self, group: list[_Waiting]) -> None:
+    async def _commit_and_release(self, batch: list[_PendingWrite]) -> None:
         try:
-            await self._commit(group)
+            await self._commit(batch)
         finally:
-            self._slots.release()
+            self._commit_slots.release()
             if self._claims or self._outcomes:
                 self._wake.set()
 
-    async def _commit(self, group: list[_Waiting]) -> None:
-        while group:
+    async def _commit(self, batch: list[_PendingWrite]) -> None:
+        while batch:
             self.commits += 1
-            transaction = Transaction(tuple(_write(waiting) for waiting in group))
+            transaction = Transaction(tuple(_write(pending) for pending in batch))
             try:
                 result = await self._committer.commit(
                     transaction, self._settings.give_up_s
                 )
             except StreamthreadError as error:
-                await self._refuse(group, error)
+                await self._fail_batch(batch, error)
                 return
             if result.outcome is CommitOutcome.COMMITTED:
-                self._succeed(group)
+                self._resolve_committed(batch)
                 return
             if result.outcome is CommitOutcome.UNKNOWN:
-                await self._refuse(group, _lost_answer())
-                self._withdraw_all(group)
+                await self._fail_batch(batch, _reply_lost_error())
+                self._mark_all_not_run(batch)
                 return
-            group = await self._without_conflicts(group, result.conflicting_keys)
+            batch = await self._resolve_conflicts(batch, result.conflicting_keys)
 
-    def _succeed(self, group: list[_Waiting]) -> None:
-        for waiting in group:
-            if waiting.done is None:
+    def _resolve_committed(self, batch: list[_PendingWrite]) -> None:
+        for pending in batch:
+            if pending.done is None:
                 continue
-            if waiting.done.done():
-                self._withdraw(waiting)
+            if pending.done.done():
+                self._mark_not_run(pending)
             else:
-                waiting.done.set_result(ClaimResult(None, waiting.version + 1))
-
-    def _withdraw_all(self, group: list[_Waiting]) -> None:
-        for waiting in group:
-            if waiting.done is not None:
-                self._withdraw(waiting)
-
-    def _withdraw(self, waiting: _Waiting) -> None:
-        """Mark a key not-run whose request has stopped waiting for it."""
-        claim = attrs.evolve(waiting.claim, state=ClaimState.NOT_RUN)
-        self.conclude(waiting.key, claim, waiting.version + 1)
-
-    async def _refuse(self, group: list[_Waiting], error: StreamthreadError) -> None:
-        for waiting in group:
-            if waiting.done is None:
-                self.conclude(waiting.key, waiting.claim, waiting.version)
-            elif not waiting.done.done():
-                waiting.done.set_exception(error)
-        await asyncio.sleep(REFUSED_PAUSE_S)
-
-    async def _without_conflicts(
-        self, group: list[_Waiting], keys: t.Collection[str]
-    ) -> list[_Waiting]:
-        """Answer those whose keys are taken; return the others."""
+                pending.done.set_result(ClaimResult(None, pending.version + 1))
+
+    def _mark_all_not_run(self, batch: list[_PendingWrite]) -> None:
+        for pending in batch:
+            if pending.done is not None:
+                self._mark_not_run(pending)
+
+    def _mark_not_run(self, pending: _PendingWrite) -> None:
+        """Record not-run for a claim whose request no longer waits for it."""
+        claim = attrs.evolve(pending.claim, state=ClaimState.NOT_RUN)
+        self.record_outcome(pending.key, claim, pending.version + 1)
+
+    async def _fail_batch(
+        self, batch: list[_PendingWrite], error: StreamthreadError
+    ) -> None:
+        for pending in batch:
+            if pending.done is None:
+                self.record_outcome(pending.key, pending.claim, pending.version)
+            elif not pending.done.done():
+                pending.done.set_exception(error)
+        await asyncio.sleep(FAILED_COMMIT_PAUSE_S)
+
+    async def _resolve_conflicts(
+        self, batch: list[_PendingWrite], keys: t.Collection[str]
+    ) -> list[_PendingWrite]:
+        """Report the existing claims of taken keys; return the writes to retry."""
         try:
             rows = await self._tables.get(list(keys))
         except StoreUnavailableError as error:
-            await self._refuse(group, error)
+            await self._fail_batch(batch, error)
             return []
-        kept: list[_Waiting] = []
-        for waiting in group:
-            if waiting.key not in keys:
-                kept.append(waiting)
-            elif waiting.done is not None and not waiting.done.done():
-                again = _answer_taken(waiting, rows.get(waiting.key))
-                kept.extend(again)
-        return kept
-
-
-def _answer_taken(waiting: _Waiting, row: Row | None) -> list[_Waiting]:
-    """Answer with the claim there is; one that was not run may be taken over."""
+        remaining: list[_PendingWrite] = []
+        for pending in batch:
+            if pending.key not in keys:
+                remaining.append(pending)
+            elif pending.done is not None and not pending.done.done():
+                retryable = _resolve_taken_key(pending, rows.get(pending.key))
+                remaining.extend(retryable)
+        return remaining
+
+
+def _resolve_taken_key(pending: _PendingWrite, row: Row | None) -> list[_PendingWrite]:
+    """Report the existing claim, or return the write to retry.
+
+    A claim whose request was not run may be replaced by the same request.
+    """
     if row is None:
-        return [waiting]
+        return [pending]
     claim = cattrs.structure(row.value, Claim)
-    if claim.state is ClaimState.NOT_RUN and claim.digest == waiting.claim.digest:
-        waiting.version = row.version
-        return [waiting]
-    assert waiting.done is not None
-    waiting.done.set_result(ClaimResult(claim, row.version))
+    if claim.state is ClaimState.NOT_RUN and claim.digest == pending.claim.digest:
+        pending.version = row.version
+        return [pending]
+    assert pending.done is not None
+    pending.done.set_result(ClaimResult(claim, row.version))
     return []
 
 
-def _write(waiting: _Waiting) -> Write:
-    return Write(waiting.key, cattrs.unstructure(waiting.claim), waiting.version)
+def _write(pending: _PendingWrite) -> Write:
+    return Write(pending.key, cattrs.unstructure(pending.claim), pending.version)
 
 
-def _lost_answer() -> StoreUnavailableError:
+def _reply_lost_error() -> StoreUnavailableError:
     return StoreUnavailableError(
-        "the store's answer about the key was lost",
+        "the store's reply to the claim of the key was lost",
         remedy="the request was not run; send it again with the same key",
     )
--- a/src/streamthread/requests/dispatch.py
+++ b/src/streamthread/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Carries one request to an upstream, and to another where that is safe."""
+"""Sends a request to an upstream, and retries on another one where that is safe."""
 
 import contextlib
 import typing as t
@@ -7,8 +7,8 @@
 from aiohttp import web
 
 from ..clocks import boot_s
-from .answers import KeptAnswer
-from .answers import pass_on
+from .answers import RecordedAnswer
+from .answers import relay_answer
 from .outcomes import DEADLINE_HEADER
 from .outcomes import IDEMPOTENCY_HEADER
 from .outcomes import LEAVING_HEADER
@@ -23,29 +23,31 @@
 __all__ = ["Dispatcher"]
 
 CONNECT_TIMEOUT_S = 1.0
-"""An upstream that does not accept a connection for so long is passed over."""
+"""If an upstream does not accept a connection within this time, another is tried."""
 
-LEAST_TIMEOUT_S = 0.001
-"""The HTTP client takes a total of zero as no limit at all."""
+MIN_TIMEOUT_S = 0.001
+"""Lower bound of the total timeout: the HTTP client treats zero as no limit."""
 
 
-MOST_LOST = 2
-"""A request under which so many upstreams broke is not sent to a third: it may be what
-broke them. With the retry budget alone, one such request broke eleven."""
+MAX_LOST_ANSWERS = 2
+"""After this many lost answers, a request is not sent to another upstream: it may be
+what makes them fail. With the retry budget as the only limit, one such request made
+eleven upstreams fail."""
 
 
 class _NotStartedError(Exception):
-    """The upstream certainly did not start the request; another may take it."""
+    """The upstream certainly did not start the request; another one may run it."""
 
 
-class _LostError(Exception):
-    """Bytes went out and no answer began; it may have run."""
+class _AnswerLostError(Exception):
+    """The request was sent but no answer began; the request may have run."""
 
 
 class Dispatcher:
     """Sends requests to the upstreams that the router chooses.
 
-    :param is_stopping: whether callers' connections end with their answers.
+    :param is_stopping: returns whether this entry is stopping; callers' connections
+        are then closed after the answer.
     """
 
     def __init__(self, router: Router, is_stopping: t.Callable[[], bool]) -> None:
@@ -55,7 +57,10 @@
         self._session: aiohttp.ClientSession | None = None
 
     def open(self) -> None:
-        """Make the client of the upstreams; the router bounds its connections."""
+        """Create the HTTP client for requests to upstreams.
+
+        It has no connection limit, because the router limits the requests in flight.
+        """
         connector = aiohttp.TCPConnector(limit=0)
         self._session = aiohttp.ClientSession(
             connector=connector, auto_decompress=False
@@ -67,48 +72,52 @@
             await self._session.close()
 
     async def dispatch(
-        self, request: web.Request, call: Call, answer: KeptAnswer | None = None
+        self, request: web.Request, call: Call, answer: RecordedAnswer | None = None
     ) -> web.StreamResponse:
-        """Try upstreams until one has the request; then stay with it.
+        """Try upstreams until one accepts the request, and relay its answer.
+
+        Once an upstream has accepted the request and begun to answer, no other one is
+        tried.
 
-        Once an answer was lost, giving up means unknown, never not-run.
+        Once an answer was lost, every failure has the outcome unknown, never
+        not-run, because the request may have run.
 
-        :param answer: keeps a copy of the answer, if given.
-        :raises Problem: no upstream took it, or its answer was lost.
+        :param answer: records a copy of the answer, if given.
+        :raises Problem: no upstream accepted the request, or the answer was lost.
         """
         self._retries.note_request()
         tried: set[str] = set()
-        lost: _LostError | None = None
+        lost: _AnswerLostError | None = None
         lost_count = 0
-        again = False
+        is_retry = False
         while True:
-            slot = await self._acquire(call, tried, again, lost)
+            slot = await self._acquire(call, tried, is_retry, lost)
             try:
                 return await self._send(request, call, slot, answer)
             except _NotStartedError:
                 tried.add(slot.upstream.instance_id)
-            except _LostError as error:
+            except _AnswerLostError as error:
                 lost_count += 1
-                if not self._may_send_again(call, lost_count):
+                if not self._may_retry(call, lost_count):
                     raise _lost_problem(error) from error
                 lost = error
                 tried.add(slot.upstream.instance_id)
             finally:
                 self._router.release(slot)
-            again = True
+            is_retry = True
 
-    def _may_send_again(self, call: Call, lost_count: int) -> bool:
-        """Whether a request may go to one more upstream after answers were lost."""
-        if not call.repeat_safe or lost_count >= MOST_LOST:
+    def _may_retry(self, call: Call, lost_count: int) -> bool:
+        """Whether a request may go to another upstream after its answer was lost."""
+        if not call.repeat_safe or lost_count >= MAX_LOST_ANSWERS:
             return False
-        return self._retries.take()
+        return self._retries.try_spend()
 
     async def _acquire(
-        self, call: Call, tried: set[str], again: bool, lost: _LostError | None
+        self, call: Call, tried: set[str], is_retry: bool, lost: _AnswerLostError | None
     ) -> Slot:
         try:
             return await self._router.acquire(
-                call.service, call.spec, call.deadline_at_s, tried, again, call.team
+                call.service, call.spec, call.deadline_at_s, tried, is_retry, call.team
             )
         except Problem as problem:
             if lost is not None:
@@ -120,16 +129,16 @@
         request: web.Request,
         call: Call,
         slot: Slot,
-        answer: KeptAnswer | None,
+        answer: RecordedAnswer | None,
     ) -> web.StreamResponse:
         began = False
         sent_at_s = boot_s()
         try:
             async with self._exchange(call, slot) as reply:
-                self._note_signs(slot, reply)
+                self._note_reply_headers(slot, reply)
                 began = True
                 close = self._is_stopping()
-                response = await pass_on(request, reply, call, answer, close)
+                response = await relay_answer(request, reply, call, answer, close)
                 self._router.note_success(slot, boot_s() - sent_at_s)
                 return response
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
@@ -139,16 +148,16 @@
             if began:
                 raise
             self._router.note_failure(slot.upstream, repr(error))
-            raise _LostError(repr(error)) from error
+            raise _AnswerLostError(repr(error)) from error
 
     def _exchange(
         self, call: Call, slot: Slot
     ) -> contextlib.AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        """Return one HTTP exchange with an upstream, within the call's deadline."""
+        """Return an HTTP exchange with an upstream, limited by the call's deadline."""
         assert self._session is not None
         left_s = call.left_s()
         timeout = aiohttp.ClientTimeout(
-            total=max(LEAST_TIMEOUT_S, left_s), sock_connect=CONNECT_TIMEOUT_S
+            total=max(MIN_TIMEOUT_S, left_s), sock_connect=CONNECT_TIMEOUT_S
         )
         return self._session.request(
             call.method,
@@ -159,10 +168,10 @@
             allow_redirects=False,
         )
 
-    def _note_signs(self, slot: Slot, reply: aiohttp.ClientResponse) -> None:
-        """Act on what an upstream says of itself.
+    def _note_reply_headers(self, slot: Slot, reply: aiohttp.ClientResponse) -> None:
+        """Act on what an upstream reports about itself in the answer's headers.
 
-        :raises _NotStartedError: it says that it did not start the request.
+        :raises _NotStartedError: the upstream did not start the request.
         """
         if LEAVING_HEADER in reply.headers:
             self._router.note_leaving(slot.upstream, "said so in an answer")
--- a/src/streamthread/requests/router.py
+++ b/src/streamthread/requests/router.py
@@ -1,4 +1,4 @@
-"""From a service to a slot on one of its upstreams, and back."""
+"""Acquires slots on a service's upstreams for requests, and releases them."""
 
 import typing as t
 
@@ -16,7 +16,7 @@
 from .directory import UpstreamDirectory
 from .outcomes import Outcome
 from .outcomes import Problem
-from .shares import Borrowing
+from .shares import BorrowingBackoff
 from .slots import SlotQueue
 from .upstreams import choose
 from .upstreams import Upstream
@@ -26,14 +26,14 @@
 
 AREA = "requests"
 NO_UPSTREAM_RETRY_S = 2.0
-"""Retry-After while a service has no upstream: it takes a change of the pool."""
+"""Retry-After while a service has no upstream; only a change of its pool adds one."""
 
 
 @attrs.frozen
 class Slot:
     """A slot that a request occupies.
 
-    :param borrowed: it belongs to another entry.
+    :param borrowed: whether the slot belongs to another entry.
     """
 
     service: str
@@ -42,10 +42,11 @@
 
 
 class Router:
-    """Chooses upstreams and counts what is in flight on them.
+    """Chooses upstreams and counts the requests in flight on each of them.
 
     :param entry: this entry's id.
-    :param entries: returns the live entries' ids, sorted, this one's among them.
+    :param entries: returns the sorted ids of the live entries, including this one.
+    :param spread_soon: requests an early exchange of updates with the peers.
     """
 
     def __init__(
@@ -69,10 +70,10 @@
         self._directory = UpstreamDirectory(entry, catalog, views, entries)
         self._waiting = WaitingServices(entry, entries, spread_soon)
         self._queues: dict[str, SlotQueue] = {}
-        self._borrowing: dict[str, Borrowing] = {}
+        self._borrowing_backoffs: dict[str, BorrowingBackoff] = {}
         rumors.listen(self._on_rumor)
 
-    # Choice.
+    # Choice of an upstream.
 
     async def acquire(
         self,
@@ -80,26 +81,32 @@
         spec: ServiceSpec,
         deadline_at_s: float,
         tried: set[str],
-        again: bool = False,
+        is_retry: bool = False,
         team: str = "",
     ) -> Slot:
-        """Return a slot on an upstream; :meth:`release` it later.
-
-        :param tried: the upstreams that refused this request lately.
-        :param again: it was refused, and keeps its place in front.
-        :param team: whose request it is; teams wait in fair turns.
-        :raises Problem: not-run, at once when waiting would be in vain.
+        """Return a slot on an upstream; the caller must :meth:`release` it.
+
+        :param tried: ids of the upstreams that recently refused or failed this
+            request. It is cleared when no upstream can be chosen.
+        :param is_retry: whether an upstream was already tried; the request then goes
+            to the front of the queue, because it already had a slot.
+        :param team: the caller's team; the queue is fair between teams.
+        :raises Problem: no slot became free in time (outcome not-run). It is raised
+            at once if no upstream is in service, the queue is full, or the request
+            could not end before its deadline.
         """
         queue = self._queue(name, spec)
-        slot = self._take(name, spec, tried) if again or not len(queue) else None
+        slot = (
+            self._try_acquire(name, spec, tried) if is_retry or not len(queue) else None
+        )
         if slot is None:
-            if not again:
-                self._refuse_hopeless(name, queue, deadline_at_s)
-            self._waiting.note_here(name)
-            slot = await queue.take(
-                lambda: self._take(name, spec, tried),
+            if not is_retry:
+                self._reject_infeasible(name, queue, deadline_at_s)
+            self._waiting.note_waiting_here(name)
+            slot = await queue.acquire(
+                lambda: self._try_acquire(name, spec, tried),
                 deadline_at_s - queue.run_s,
-                in_front=again,
+                in_front=is_retry,
                 team=team,
                 weight=self._weight_of(team),
             )
@@ -116,7 +123,7 @@
         return spec.weight if spec is not None else 1.0
 
     def release(self, slot: Slot) -> None:
-        """Give a slot back."""
+        """Free a slot that :meth:`acquire` returned."""
         self._directory.health(slot.upstream).in_flight -= 1
         queue = self._queues.get(slot.service)
         if queue is not None:
@@ -128,13 +135,15 @@
             queue = self._queues[name] = SlotQueue(spec.queue_limit)
         return queue
 
-    def _take(self, name: str, spec: ServiceSpec, tried: set[str]) -> Slot | None:
-        upstreams = self._directory.of(spec)
+    def _try_acquire(
+        self, name: str, spec: ServiceSpec, tried: set[str]
+    ) -> Slot | None:
+        upstreams = self._directory.upstreams_for(spec)
         if not upstreams:
             raise _overloaded(name, "no upstream is in service", NO_UPSTREAM_RETRY_S)
         chosen = choose(
             upstreams,
-            self._directory.healths,
+            self._directory.health_by_id,
             self._hall,
             tried,
             self._may_borrow(name),
@@ -146,17 +155,21 @@
         return Slot(name, chosen.upstream, chosen.borrowed)
 
     def _may_borrow(self, name: str) -> bool:
-        """Whether a slot of another entry may be tried for a service."""
-        if self._waiting.waits_elsewhere(name):
+        """Whether requests for the service may use slots of other entries now.
+
+        They may not while requests for it wait at another entry, which then needs its
+        own slots, nor during the backoff after an upstream refused such a request.
+        """
+        if self._waiting.is_waiting_elsewhere(name):
             return False
-        return self._borrowing_of(name).may_try(boot_s())
+        return self._borrowing_backoff(name).may_try(boot_s())
 
-    def _borrowing_of(self, name: str) -> Borrowing:
-        return self._borrowing.setdefault(name, Borrowing())
+    def _borrowing_backoff(self, name: str) -> BorrowingBackoff:
+        return self._borrowing_backoffs.setdefault(name, BorrowingBackoff())
 
     @staticmethod
-    def _refuse_hopeless(name: str, queue: SlotQueue, deadline_at_s: float) -> None:
-        """Refuse at once what would wait in vain, or run past its deadline."""
+    def _reject_infeasible(name: str, queue: SlotQueue, deadline_at_s: float) -> None:
+        """Reject a request that finds a full queue or cannot end by its deadline."""
         wait_s = queue.expected_wait_s()
         if queue.is_full:
             raise _overloaded(name, "the queue is full", wait_s)
@@ -164,22 +177,22 @@
             cause = "the queue is longer than the deadline allows"
             raise _overloaded(name, cause, wait_s)
 
-    # Signs of health.
+    # Health of upstreams.
 
     def note_accepted(self, slot: Slot) -> None:
-        """Note that an upstream took the request."""
+        """Record that an upstream accepted the request."""
         if slot.borrowed:
-            self._borrowing_of(slot.service).note_taken()
+            self._borrowing_backoff(slot.service).note_accepted()
 
     def note_success(self, slot: Slot, run_s: float) -> None:
-        """Note a whole answer, and how long it took."""
+        """Record an answer, even one that broke off, and how long it took."""
         self._directory.health(slot.upstream).note_success()
         queue = self._queues.get(slot.service)
         if queue is not None:
             queue.note_run(run_s)
 
     def note_failure(self, upstream: Upstream, cause: str) -> None:
-        """Note a broken or refused connection."""
+        """Record a broken or refused connection."""
         health = self._directory.health(upstream)
         if health.note_failure(boot_s()):
             self._recorder.record(
@@ -187,14 +200,14 @@
             )
 
     def note_full(self, slot: Slot) -> None:
-        """Note a refusal for want of a slot."""
+        """Record that an upstream refused a request because it had no free slot."""
         now_s = boot_s()
         self._directory.health(slot.upstream).note_full(now_s)
         if slot.borrowed:
-            self._borrowing_of(slot.service).note_refused(now_s)
+            self._borrowing_backoff(slot.service).note_refused(now_s)
 
     def note_leaving(self, upstream: Upstream, reason: str) -> None:
-        """Note that an upstream said it leaves, and tell the peers."""
+        """Record that an upstream announced that it is leaving; notify the peers."""
         mark = pb.LeavingMark(instance_id=upstream.instance_id, reason=reason)
         rumor = pb.Rumor(
             key=f"leaving/{upstream.instance_id}", version=upstream.boot, leaving=mark
@@ -205,7 +218,7 @@
     def _on_rumor(self, rumor: pb.Rumor) -> None:
         body = rumor.WhichOneof("body")
         if body == "daemon":
-            self._waiting.note_at(rumor.daemon.daemon_id, rumor.daemon.waiting)
+            self._waiting.note_waiting_at(rumor.daemon.daemon_id, rumor.daemon.waiting)
         elif body == "leaving":
             instance_id = rumor.leaving.instance_id
             self._directory.note_leaving(instance_id, boot=rumor.version)
@@ -216,14 +229,14 @@
                 rumor.leaving.reason,
             )
 
-    # What others ask.
+    # Reports.
 
     def waiting(self) -> list[str]:
-        """Return the services for which requests waited here lately."""
-        return self._waiting.here()
+        """Return the services for which requests recently waited at this entry."""
+        return self._waiting.waiting_here()
 
     def drain_reports(self) -> list[pb.DrainReport]:
-        """Return what is still in flight here on the instances that drain."""
+        """Return how many requests this entry has in flight on draining instances."""
         return [
             pb.DrainReport(
                 instance_id=instance_id,
@@ -234,8 +247,8 @@
         ]
 
     def in_flight_on(self, instance_id: str) -> int:
-        """Return how many requests are in flight on one instance."""
-        health = self._directory.healths.get(instance_id)
+        """Return how many requests this entry has in flight on one instance."""
+        health = self._directory.health_by_id.get(instance_id)
         return health.in_flight if health else 0
 
     def queued(self) -> int:
--- a/src/streamthread/requests/sweeper.py
+++ b/src/streamthread/requests/sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes claims whose keys nobody will repeat any more."""
+"""Deletes claims past the retention period, after which no key may be repeated."""
 
 import time
 import typing as t
@@ -16,16 +16,16 @@
 
 __all__ = ["ClaimSweeper", "SweepSettings"]
 
-PARTS = 16
-"""The claims are swept in so many parts, by the first hexadecimal digit."""
+PARTITION_COUNT = 16
+"""Claims are swept in partitions, one per first hexadecimal digit of the key hash."""
 
 
 @attrs.frozen
 class SweepSettings:
-    """How old claims go.
+    """Retention of claims and rate of sweeping.
 
-    :param kept_s: how long a key is remembered; callers must not repeat later.
-    :param page_every_s: one page of 500 rows is read so often.
+    :param kept_s: how long a claim is retained; callers must not repeat a key later.
+    :param page_every_s: interval at which one page of 500 rows is read.
     """
 
     kept_s: float = 86_400.0
@@ -33,9 +33,10 @@
 
 
 class ClaimSweeper(Service):
-    """Goes round the parts of the claims whose shards are held here.
+    """Sweeps in turn the claim partitions whose shards this daemon holds.
 
-    :param wall_s: the wall clock; retention is long against clocks' differences.
+    :param wall_s: the wall clock; the retention period is long compared to the
+        differences between clocks.
     """
 
     def __init__(
@@ -51,8 +52,8 @@
         self._leases = leases
         self._settings = settings
         self._wall_s = wall_s
-        self._part = 0
-        self._after = ""
+        self._partition = 0
+        self._cursor = ""
 
     @Service.task
     async def _sweep(self) -> None:
@@ -61,21 +62,21 @@
             try:
                 await self.sweep_page()
             except StoreUnavailableError as error:
-                self.log.info("claims not swept: %s", error)
+                self.log.info("could not sweep old claims: %s", error)
 
     async def sweep_page(self) -> None:
-        """Read one page of the part at hand and delete what is old in it."""
-        prefix = f"claim/{self._part:x}"
+        """Read one page of the current partition and delete its expired claims."""
+        prefix = f"claim/{self._partition:x}"
         if not self._leases.holds(prefix):
-            self._next_part()
+            self._next_partition()
             return
-        page = await self._tables.scan(prefix, self._after)
+        page = await self._tables.scan(prefix, self._cursor)
         if not page:
-            self._next_part()
+            self._next_partition()
             return
-        self._after = page[-1].key
-        oldest_kept_s = self._wall_s() - self._settings.kept_s
-        old = [row for row in page if row.value["claimed_at_s"] < oldest_kept_s]
+        self._cursor = page[-1].key
+        oldest_retained_s = self._wall_s() - self._settings.kept_s
+        old = [row for row in page if row.value["claimed_at_s"] < oldest_retained_s]
         for start in range(0, len(old), MAX_ROWS_PER_TRANSACTION):
             await self._delete(old[start : start + MAX_ROWS_PER_TRANSACTION])
 
@@ -85,6 +86,6 @@
         if result.committed:
             self.deleted += len(rows)
 
-    def _next_part(self) -> None:
-        self._part = (self._part + 1) % PARTS
-        self._after = ""
+    def _next_partition(self) -> None:
+        self._partition = (self._partition + 1) % PARTITION_COUNT
+        self._cursor = ""
