--- a/src/streamthread/entry/operators.py
+++ b/src/streamthread/entry/operators.py
@@ -20,7 +20,7 @@
 from ..errors import OutcomeUnknownError
 from ..errors import PeerUnavailableError
 from ..errors import StreamthreadError
-from ..jobs.router import JobsWish
+from ..jobs.router import PoolJobsRequest
 from ..providers import JsonObject
 from ..structure import strict_converter
 from ..structure import structure_errors
@@ -156,7 +156,7 @@
         return reports.explain(self._entry, kind, name)
 
     async def _jobs(self, request: web.Request) -> t.Any:
-        wish = strict_converter.structure(await request.json(), JobsWish)
+        wish = strict_converter.structure(await request.json(), PoolJobsRequest)
         return cattrs.unstructure(await self._entry.job_router.handle(wish))
 
     # Timeline.
--- a/src/streamthread/entry/reports.py
+++ b/src/streamthread/entry/reports.py
@@ -15,7 +15,7 @@
 from ..fleet.selectors import Selector
 from ..fleet.views import view_as_row
 from ..jobs import JobState
-from ..jobs.router import JobsWish
+from ..jobs.router import PoolJobsRequest
 from ..maintenance import measure_budget
 from ..maintenance import run_key
 from ..providers import JsonObject
@@ -171,7 +171,7 @@
     :raises NotFoundError: there is no such job.
     """
     pool, _, job_id = name.partition("/")
-    answer = await entry.job_router.handle(JobsWish(pool, list_jobs=True))
+    answer = await entry.job_router.handle(PoolJobsRequest(pool, list_jobs=True))
     for job in answer.jobs:
         if job.spec.job_id == job_id:
             return {
--- a/src/streamthread/jobs/router.py
+++ b/src/streamthread/jobs/router.py
@@ -16,11 +16,11 @@
 from .rows import JobSpec
 from .service import JobService
 
-__all__ = ["JobRouter", "JobsAnswer", "JobsWish"]
+__all__ = ["JobRouter", "JobsAnswer", "PoolJobsRequest"]
 
 
 @attrs.frozen
-class JobsWish:
+class PoolJobsRequest:
     """Something asked about the jobs of one pool: submit, cancel, then list."""
 
     pool: str
@@ -48,7 +48,7 @@
         self._jobs = jobs
         self.peers: PeerService | None = None
 
-    async def handle(self, wish: JobsWish) -> JobsAnswer:
+    async def handle(self, wish: PoolJobsRequest) -> JobsAnswer:
         """Carry a wish out, wherever its pool is held.
 
         :raises NotHolderError: nobody holds the pool at the moment.
@@ -72,14 +72,14 @@
 
     async def serve(self, value: JsonObject) -> JsonObject:
         """Carry out a wish that a peer forwarded; its errors are answers."""
-        wish = cattrs.structure(value, JobsWish)
+        wish = cattrs.structure(value, PoolJobsRequest)
         try:
             answer = await self._carry_out(wish)
         except StreamthreadError as error:
             answer = JobsAnswer(error=error.message, remedy=error.remedy)
         return t.cast(JsonObject, cattrs.unstructure(answer))
 
-    async def _carry_out(self, wish: JobsWish) -> JobsAnswer:
+    async def _carry_out(self, wish: PoolJobsRequest) -> JobsAnswer:
         submitted = cancelled = 0
         jobs: tuple[Job, ...] = ()
         if wish.submit:
