--- a/src/streamthread/jobs/__init__.py
+++ b/src/streamthread/jobs/__init__.py
@@ -2,7 +2,7 @@
 
 from .decide import decide_jobs
 from .decide import JobsSnapshot
-from .decide import JobStep
+from .decide import JobUpdate
 from .decide import WorkerFacts
 from .quarantine import Quarantine
 from .rows import Job
@@ -14,7 +14,7 @@
     "Job",
     "JobSpec",
     "JobState",
-    "JobStep",
+    "JobUpdate",
     "JobsSnapshot",
     "Quarantine",
     "WorkerFacts",
--- a/src/streamthread/jobs/attempts.py
+++ b/src/streamthread/jobs/attempts.py
@@ -37,14 +37,14 @@
         changes = await self._workers.task_changes(self._cursor)
         self._cursor = changes.cursor
         for task in changes.tasks:
-            self._follow(task)
+            self._track(task)
         return changes.tasks
 
     def running(self) -> tuple[Task, ...]:
         """Return what runs by the reports so far, of all pools."""
         return tuple(self._running.values())
 
-    def _follow(self, task: Task) -> None:
+    def _track(self, task: Task) -> None:
         """Keep what runs: a report comes once, what it says lasts."""
         key = (task.job_id, task.attempt)
         if task.state is TaskState.RUNNING:
@@ -60,7 +60,7 @@
             async with limit:
                 task = await self._workers.find_task(job.spec.job_id, job.attempt)
             if task is not None:
-                jobs.reported.append(task)
+                jobs.pending_reports.append(task)
 
         started = [jobs.jobs[job_id].job for job_id in jobs.unconfirmed]
         await asyncio.gather(*(read(job) for job in started))
@@ -85,20 +85,20 @@
         try:
             await self._workers.start(_task_start(job))
         except OutcomeUnknownError:
-            jobs.unanswered.add(job_id)
+            jobs.outcome_unknown.add(job_id)
         except StoreUnavailableError:
             return
         except ConflictError as error:
-            await self._take_refusal(jobs, job, str(error), on_refused)
+            await self._handle_refusal(jobs, job, str(error), on_refused)
         else:
             jobs.unconfirmed.discard(job_id)
 
-    async def _take_refusal(
+    async def _handle_refusal(
         self, jobs: PoolJobs, job: Job, cause: str, on_refused: OnRefused
     ) -> None:
         """Take a refusal for what it says: it is about this try only."""
         job_id = job.spec.job_id
-        if job_id not in jobs.unanswered:
+        if job_id not in jobs.outcome_unknown:
             await on_refused(job, cause, False)
             return
         try:
@@ -108,7 +108,7 @@
         if task is None:
             await on_refused(job, cause, True)
             return
-        jobs.reported.append(task)
+        jobs.pending_reports.append(task)
         jobs.unconfirmed.discard(job_id)
 
     async def stop_all(self, jobs: PoolJobs) -> None:
@@ -119,7 +119,7 @@
 
         :raises StoreUnavailableError: not all was answered; all is kept.
         """
-        stops = dict(jobs.stops)
+        stops = dict(jobs.pending_stops)
         plain = [task for task, checkpoint in stops.items() if not checkpoint]
         if plain:
             await self._workers.stop_many(plain)
@@ -127,7 +127,7 @@
             if checkpoint:
                 await self._workers.stop(job_id, attempt, checkpoint)
         for task in stops.keys() - self._running.keys():
-            jobs.stops.pop(task, None)
+            jobs.pending_stops.pop(task, None)
 
 
 def _task_start(job: Job) -> TaskStart:
--- a/src/streamthread/jobs/decide.py
+++ b/src/streamthread/jobs/decide.py
@@ -9,7 +9,7 @@
 from .rows import JobSpec
 from .rows import JobState
 
-__all__ = ["JobStep", "JobsSnapshot", "WorkerFacts", "decide_jobs"]
+__all__ = ["JobUpdate", "JobsSnapshot", "WorkerFacts", "decide_jobs"]
 
 MAX_DISTINCT_FAILURES = 3
 """A job that failed on this many workers is parked."""
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class JobStep:
+class JobUpdate:
     """One job's row replaced, and why; its new state says what to do."""
 
     job: Job
@@ -56,8 +56,8 @@
 
 
 @attrs.define
-class _Room:
-    """What is free on one worker while a decision is made.
+class _FreeCapacity:
+    """Tracks the free capacity of one worker while a decision is made.
 
     :param has_failed_jobs: something runs there that has failed elsewhere.
     """
@@ -81,16 +81,16 @@
         self.accelerators += sign * spec.accelerators
 
 
-def decide_jobs(snapshot: JobsSnapshot) -> list[JobStep]:
+def decide_jobs(snapshot: JobsSnapshot) -> list[JobUpdate]:
     """Return the rows to replace now: starts, checkpoints and parkings."""
-    return _Decision(snapshot).steps()
+    return _Decision(snapshot).updates()
 
 
 class _Decision:
     def __init__(self, snapshot: JobsSnapshot) -> None:
         self._snapshot = snapshot
-        self._rooms = {
-            worker.worker_id: _Room(
+        self._free = {
+            worker.worker_id: _FreeCapacity(
                 worker, worker.cores, worker.memory_bytes, worker.accelerators
             )
             for worker in snapshot.workers
@@ -100,43 +100,43 @@
         for job in self._running:
             self._occupy(job)
 
-    def steps(self) -> list[JobStep]:
+    def updates(self) -> list[JobUpdate]:
         queued = [job for job in self._snapshot.jobs if job.state is JobState.QUEUED]
         queued.sort(key=lambda job: not job.spec.urgent)
-        steps = [
-            self._push_aside(job, f"{job.worker_id} leaves")
+        updates = [
+            self._preempt(job, f"{job.worker_id} leaves")
             for job in list(self._running)
-            if self._must_make_way(job)
+            if self._must_checkpoint(job)
         ]
         for job in queued:
-            steps.extend(self._place(job))
-        return steps
+            updates.extend(self._place(job))
+        return updates
 
-    def _must_make_way(self, job: Job) -> bool:
-        room = self._rooms.get(job.worker_id)
+    def _must_checkpoint(self, job: Job) -> bool:
+        free = self._free.get(job.worker_id)
         long = job.spec.run_s > LONG_JOB_S
-        return room is not None and room.facts.leaving and long and job.spec.repeat_safe
+        return free is not None and free.facts.leaving and long and job.spec.repeat_safe
 
-    def _place(self, job: Job) -> list[JobStep]:
-        reason = self._never_runnable(job)
+    def _place(self, job: Job) -> list[JobUpdate]:
+        reason = self._parking_reason(job)
         if reason:
             parked = attrs.evolve(job, state=JobState.PARKED, reason=reason)
-            return [JobStep(parked, reason)]
+            return [JobUpdate(parked, reason)]
         if not self._within_quota(job.spec):
             return []
-        room = self._best_room(job)
-        if room is not None:
-            return [self._start(job, room)]
+        free = self._tightest_fit(job)
+        if free is not None:
+            return [self._start(job, free)]
         if job.spec.urgent:
             return self._preempt_for(job)
         return []
 
-    def _never_runnable(self, job: Job) -> str:
+    def _parking_reason(self, job: Job) -> str:
         if len(job.failed_on) >= MAX_DISTINCT_FAILURES:
             return f"failed on {len(job.failed_on)} workers: {', '.join(job.failed_on)}"
-        if not self._rooms:
+        if not self._free:
             return ""
-        if any(_could_ever_run(job.spec, room.facts) for room in self._rooms.values()):
+        if any(_could_ever_run(job.spec, free.facts) for free in self._free.values()):
             return ""
         return "no worker of the pool is large enough or matches its selector"
 
@@ -145,96 +145,98 @@
         used = self._team_cores.get(spec.team, 0)
         return quota is None or used + spec.cores <= quota
 
-    def _best_room(self, job: Job) -> _Room | None:
+    def _tightest_fit(self, job: Job) -> _FreeCapacity | None:
         """The tightest fit, on a worker that it has not failed on.
 
         Jobs that have failed go apart: all that ran on a worker that was lost is told
         as failed, and what only ran beside the cause would be parked with it.
         """
         fitting = [
-            room
-            for room in self._rooms.values()
-            if self._is_open_for(job, room) and room.fits(job.spec)
+            free
+            for free in self._free.values()
+            if self._is_open_for(job, free) and free.fits(job.spec)
         ]
         if not fitting:
             return None
         suspect = bool(job.failed_on)
         return min(
             fitting,
-            key=lambda room: (
-                suspect and room.has_failed_jobs,
-                room.cores,
-                room.facts.worker_id,
+            key=lambda free: (
+                suspect and free.has_failed_jobs,
+                free.cores,
+                free.facts.worker_id,
             ),
         )
 
     @staticmethod
-    def _is_open_for(job: Job, room: _Room) -> bool:
+    def _is_open_for(job: Job, free: _FreeCapacity) -> bool:
         return (
-            room.facts.open
-            and room.facts.worker_id not in job.failed_on
-            and _could_ever_run(job.spec, room.facts)
+            free.facts.open
+            and free.facts.worker_id not in job.failed_on
+            and _could_ever_run(job.spec, free.facts)
         )
 
-    def _start(self, job: Job, room: _Room) -> JobStep:
+    def _start(self, job: Job, free: _FreeCapacity) -> JobUpdate:
         started = attrs.evolve(
             job,
             state=JobState.STARTED,
             attempt=job.attempt + 1,
-            worker_id=room.facts.worker_id,
+            worker_id=free.facts.worker_id,
             reason="",
         )
         self._occupy(started)
-        return JobStep(started, f"fits with {room.cores} cores left")
+        return JobUpdate(started, f"fits with {free.cores} cores left")
 
     def _occupy(self, job: Job) -> None:
-        room = self._rooms.get(job.worker_id)
-        if room is not None:
-            room.add(job.spec, -1)
-            room.has_failed_jobs |= bool(job.failed_on)
+        free = self._free.get(job.worker_id)
+        if free is not None:
+            free.add(job.spec, -1)
+            free.has_failed_jobs |= bool(job.failed_on)
         team = job.spec.team
         self._team_cores[team] = self._team_cores.get(team, 0) + job.spec.cores
 
-    def _preempt_for(self, job: Job) -> list[JobStep]:
-        """Checkpoint the fewest cores' worth of lower jobs on one worker."""
+    def _preempt_for(self, job: Job) -> list[JobUpdate]:
+        """Checkpoint the fewest cores' worth of preemptible jobs on one worker."""
         best: list[Job] = []
-        for room in self._rooms.values():
-            if not self._is_open_for(job, room):
+        for free in self._free.values():
+            if not self._is_open_for(job, free):
                 continue
-            victims = self._victims(job, room)
-            if victims and (not best or _cores(victims) < _cores(best)):
+            victims = self._victims(job, free)
+            if victims and (not best or _total_cores(victims) < _total_cores(best)):
                 best = victims
         if not best:
             return []
         cause = f"urgent job {job.spec.job_id}"
-        steps = [self._push_aside(victim, cause) for victim in best]
-        room = self._rooms[best[0].worker_id]
-        return [*steps, self._start(job, room)]
+        updates = [self._preempt(victim, cause) for victim in best]
+        free = self._free[best[0].worker_id]
+        return [*updates, self._start(job, free)]
 
-    def _victims(self, job: Job, room: _Room) -> list[Job]:
-        lower = [
+    def _victims(self, job: Job, free: _FreeCapacity) -> list[Job]:
+        preemptible = [
             other
             for other in self._running
-            if other.worker_id == room.facts.worker_id
+            if other.worker_id == free.facts.worker_id
             and not other.spec.urgent
             and other.spec.repeat_safe
         ]
-        lower.sort(key=lambda other: other.spec.cores)
-        trial = _Room(room.facts, room.cores, room.memory_bytes, room.accelerators)
+        preemptible.sort(key=lambda other: other.spec.cores)
+        simulated = _FreeCapacity(
+            free.facts, free.cores, free.memory_bytes, free.accelerators
+        )
         chosen: list[Job] = []
-        for other in lower:
-            if trial.fits(job.spec):
+        for other in preemptible:
+            if simulated.fits(job.spec):
                 break
-            trial.add(other.spec, +1)
+            simulated.add(other.spec, +1)
             chosen.append(other)
-        return chosen if trial.fits(job.spec) else []
+        return chosen if simulated.fits(job.spec) else []
 
-    def _push_aside(self, victim: Job, cause: str) -> JobStep:
+    def _preempt(self, victim: Job, cause: str) -> JobUpdate:
         self._running.remove(victim)
-        self._rooms[victim.worker_id].add(victim.spec, +1)
+        self._free[victim.worker_id].add(victim.spec, +1)
         self._team_cores[victim.spec.team] -= victim.spec.cores
         reason = f"checkpointed: {cause}"
-        return JobStep(
+        return JobUpdate(
             attrs.evolve(victim, state=JobState.QUEUED, reason=reason), reason
         )
 
@@ -248,5 +250,5 @@
     )
 
 
-def _cores(jobs: t.Iterable[Job]) -> int:
+def _total_cores(jobs: t.Iterable[Job]) -> int:
     return sum(job.spec.cores for job in jobs)
--- a/src/streamthread/jobs/pool_jobs.py
+++ b/src/streamthread/jobs/pool_jobs.py
@@ -9,12 +9,12 @@
 from ..providers import Fence
 from ..providers import Task
 from ..providers import TaskState
-from .decide import JobStep
+from .decide import JobUpdate
 from .quarantine import Quarantine
 from .rows import Job
 from .rows import JobState
 
-__all__ = ["PoolJobs", "StoredJob", "ended_steps"]
+__all__ = ["PoolJobs", "StoredJob", "updates_after_end"]
 
 
 @attrs.define
@@ -29,27 +29,30 @@
 class PoolJobs:
     """The jobs of one pool, as loaded under one epoch.
 
-    :param current: the jobs that have not ended.
+    :param unfinished: the jobs that have not ended.
     :param unconfirmed: started jobs whose start was not answered yet.
-    :param unanswered: started jobs of which a try may have had no answer, here or at
-        an earlier holder; a refusal of a later try says nothing of it.
-    :param stops: attempts to be stopped, and whether with a checkpoint.
-    :param reported: reports of attempts that are not taken yet: those from before the
-        jobs were loaded, and those read while the store was down.
+    :param outcome_unknown: started jobs for which a start call may have got no answer,
+        from this holder or an earlier one. A later refusal does not rule out that the
+        earlier call started the attempt.
+    :param pending_stops: attempts to be stopped, and whether with a checkpoint.
+    :param pending_reports: reports of attempts that are not processed yet: those from
+        before the jobs were loaded, and those read while the store was down.
     :param changed: whether something changed since the last decision.
     """
 
     fence: Fence
     jobs: dict[str, StoredJob] = attrs.field(factory=dict)
-    current: set[str] = attrs.field(factory=set)
+    unfinished: set[str] = attrs.field(factory=set)
     queued: set[str] = attrs.field(factory=set)
-    on_worker: collections.Counter[str] = attrs.field(factory=collections.Counter)
+    attempts_on_worker: collections.Counter[str] = attrs.field(
+        factory=collections.Counter
+    )
     changed: bool = True
     decided_at_s: float = 0.0
     unconfirmed: set[str] = attrs.field(factory=set)
-    unanswered: set[str] = attrs.field(factory=set)
-    stops: dict[tuple[str, int], bool] = attrs.field(factory=dict)
-    reported: list[Task] = attrs.field(factory=list)
+    outcome_unknown: set[str] = attrs.field(factory=set)
+    pending_stops: dict[tuple[str, int], bool] = attrs.field(factory=dict)
+    pending_reports: list[Task] = attrs.field(factory=list)
     quarantine: Quarantine = attrs.field(factory=Quarantine)
 
     def version_of(self, job_id: str) -> int:
@@ -57,42 +60,42 @@
         known = self.jobs.get(job_id)
         return known.version if known else ABSENT
 
-    def keep(self, job: Job, version: int) -> Job | None:
+    def put(self, job: Job, version: int) -> Job | None:
         """Put a job in place of its earlier row; return that."""
         job_id = job.spec.job_id
         known = self.jobs.get(job_id)
         if known is not None and known.job.state is JobState.STARTED:
-            self.on_worker[known.job.worker_id] -= 1
+            self.attempts_on_worker[known.job.worker_id] -= 1
         if job.state is JobState.STARTED:
-            self.on_worker[job.worker_id] += 1
+            self.attempts_on_worker[job.worker_id] += 1
         self._index(self.queued, job_id, job.state is JobState.QUEUED)
-        self._index(self.current, job_id, not job.ended)
+        self._index(self.unfinished, job_id, not job.ended)
         self.jobs[job_id] = StoredJob(job, version)
         self.changed = True
         return known.job if known else None
 
     def replace(self, job: Job, version: int) -> None:
         """Put in place what was committed here, and note what follows from it."""
-        before = self.keep(job, version)
+        before = self.put(job, version)
         if before is not None and before.state is JobState.STARTED:
-            self._note_left_attempt(before, job)
+            self._handle_ended_attempt(before, job)
         if job.state is JobState.STARTED:
             self.unconfirmed.add(job.spec.job_id)
 
-    def _note_left_attempt(self, before: Job, after: Job) -> None:
+    def _handle_ended_attempt(self, before: Job, after: Job) -> None:
         """Have the attempt stopped, or its worker trusted less, as it ended."""
         job_id = before.spec.job_id
         self.unconfirmed.discard(job_id)
-        self.unanswered.discard(job_id)
+        self.outcome_unknown.discard(job_id)
         if after.state in (JobState.CANCELLED, JobState.QUEUED, JobState.PARKED):
             checkpoint = after.state is JobState.QUEUED
-            self.stops[(job_id, before.attempt)] = checkpoint
+            self.pending_stops[(job_id, before.attempt)] = checkpoint
         if after.state is JobState.DONE:
-            self.quarantine.note(before.worker_id, job_id, succeeded=True)
+            self.quarantine.record(before.worker_id, job_id, succeeded=True)
         elif before.worker_id in after.failed_on:
-            self.quarantine.note(before.worker_id, job_id, succeeded=False)
+            self.quarantine.record(before.worker_id, job_id, succeeded=False)
 
-    def note_running(self, tasks: t.Iterable[Task]) -> None:
+    def stop_superseded(self, tasks: t.Iterable[Task]) -> None:
         """Have attempts stopped that run though their jobs' rows want nothing of them.
 
         A stop that was answered says nothing of a start that is carried out after it.
@@ -105,7 +108,7 @@
             if job.state is JobState.STARTED and job.attempt == task.attempt:
                 continue
             checkpoint = job.state is JobState.QUEUED
-            self.stops.setdefault((task.job_id, task.attempt), checkpoint)
+            self.pending_stops.setdefault((task.job_id, task.attempt), checkpoint)
 
     @staticmethod
     def _index(ids: set[str], job_id: str, belongs: bool) -> None:
@@ -120,26 +123,26 @@
         return self.changed or overdue
 
 
-def ended_steps(jobs: PoolJobs, tasks: t.Iterable[Task]) -> list[JobStep]:
+def updates_after_end(jobs: PoolJobs, tasks: t.Iterable[Task]) -> list[JobUpdate]:
     """Return the rows to replace because their attempts have ended."""
-    steps: list[JobStep] = []
+    updates: list[JobUpdate] = []
     for task in tasks:
         stored = jobs.jobs.get(task.job_id)
         if stored is None or stored.job.state is not JobState.STARTED:
             continue
         if task.attempt != stored.job.attempt or task.state is TaskState.RUNNING:
             continue
-        steps.append(_after_end(stored.job, task))
-    return steps
+        updates.append(_update_after_end(stored.job, task))
+    return updates
 
 
-def _after_end(job: Job, task: Task) -> JobStep:
+def _update_after_end(job: Job, task: Task) -> JobUpdate:
     if task.state is TaskState.DONE:
-        return JobStep(attrs.evolve(job, state=JobState.DONE), "done")
+        return JobUpdate(attrs.evolve(job, state=JobState.DONE), "done")
     cause = f"{task.state.value} on {task.worker_id}"
     failed_on = job.failed_on
     if task.state is TaskState.FAILED and task.worker_id not in failed_on:
         failed_on = (*failed_on, task.worker_id)
     state = JobState.QUEUED if job.spec.repeat_safe else JobState.PARKED
     ended = attrs.evolve(job, state=state, reason=cause, failed_on=failed_on)
-    return JobStep(ended, cause)
+    return JobUpdate(ended, cause)
--- a/src/streamthread/jobs/quarantine.py
+++ b/src/streamthread/jobs/quarantine.py
@@ -2,10 +2,10 @@
 
 __all__ = ["Quarantine"]
 
-FAILURES_BEFORE = 3
+FAILURES_BEFORE_QUARANTINE = 3
 """Distinct jobs in a row that a worker fails before it is quarantined."""
 
-MAX_FRACTION = 0.2
+MAX_QUARANTINED_FRACTION = 0.2
 """At most this part of a pool is quarantined; one may always be, never all."""
 
 
@@ -16,13 +16,13 @@
         self._failed_jobs: dict[str, set[str]] = {}
         self._boots: dict[str, int] = {}
 
-    def note_boot(self, worker_id: str, boot: int) -> None:
+    def record_boot(self, worker_id: str, boot: int) -> None:
         """Trust a worker again after a reboot."""
         if self._boots.get(worker_id, boot) != boot:
             self._failed_jobs.pop(worker_id, None)
         self._boots[worker_id] = boot
 
-    def note(self, worker_id: str, job_id: str, succeeded: bool) -> None:
+    def record(self, worker_id: str, job_id: str, succeeded: bool) -> None:
         """Note the end of an attempt."""
         if succeeded:
             self._failed_jobs.pop(worker_id, None)
@@ -34,9 +34,9 @@
         failing = [
             worker_id
             for worker_id in pool_workers
-            if len(self._failed_jobs.get(worker_id, ())) >= FAILURES_BEFORE
+            if len(self._failed_jobs.get(worker_id, ())) >= FAILURES_BEFORE_QUARANTINE
         ]
-        cap = max(1, int(len(pool_workers) * MAX_FRACTION))
+        cap = max(1, int(len(pool_workers) * MAX_QUARANTINED_FRACTION))
         cap = min(cap, len(pool_workers) - 1)
         failing.sort(key=lambda name: (-len(self._failed_jobs[name]), name))
         return set(failing[:cap])
--- a/src/streamthread/jobs/router.py
+++ b/src/streamthread/jobs/router.py
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JobsAnswer:
-    """What came of a wish; ``error`` is empty where it was carried out."""
+    """What came of a request; ``error`` is empty where it was carried out."""
 
     submitted: int = 0
     cancelled: int = 0
@@ -41,51 +41,51 @@
 
 
 class JobRouter:
-    """Carries a wish out here, or has the holder do it."""
+    """Carries a request out here, or has the holder do it."""
 
     def __init__(self, leases: LeaseService, jobs: JobService) -> None:
         self._leases = leases
         self._jobs = jobs
         self.peers: PeerService | None = None
 
-    async def handle(self, wish: PoolJobsRequest) -> JobsAnswer:
-        """Carry a wish out, wherever its pool is held.
+    async def handle(self, request: PoolJobsRequest) -> JobsAnswer:
+        """Carry a request out, wherever its pool is held.
 
         :raises NotHolderError: nobody holds the pool at the moment.
         :raises ConflictError: the holder refused it.
         """
-        key = pool_key(wish.pool)
+        key = pool_key(request.pool)
         if self._leases.holds(key):
-            return await self._carry_out(wish)
+            return await self._execute(request)
         holder = self._leases.holder_of(key)
         if holder is None or self.peers is None:
             raise NotHolderError(
-                f"nobody holds pool {wish.pool!r} at the moment",
+                f"nobody holds pool {request.pool!r} at the moment",
                 remedy="send it again in some seconds",
                 location=key,
             )
-        value = await self.peers.forward_jobs(holder, cattrs.unstructure(wish))
+        value = await self.peers.forward_jobs(holder, cattrs.unstructure(request))
         answer = cattrs.structure(value, JobsAnswer)
         if answer.error:
             raise ConflictError(answer.error, remedy=answer.remedy, location=key)
         return answer
 
     async def serve(self, value: JsonObject) -> JsonObject:
-        """Carry out a wish that a peer forwarded; its errors are answers."""
-        wish = cattrs.structure(value, PoolJobsRequest)
+        """Carry out a request that a peer forwarded; its errors are answers."""
+        request = cattrs.structure(value, PoolJobsRequest)
         try:
-            answer = await self._carry_out(wish)
+            answer = await self._execute(request)
         except StreamthreadError as error:
             answer = JobsAnswer(error=error.message, remedy=error.remedy)
         return t.cast(JsonObject, cattrs.unstructure(answer))
 
-    async def _carry_out(self, wish: PoolJobsRequest) -> JobsAnswer:
+    async def _execute(self, request: PoolJobsRequest) -> JobsAnswer:
         submitted = cancelled = 0
         jobs: tuple[Job, ...] = ()
-        if wish.submit:
-            submitted = await self._jobs.submit(wish.pool, wish.submit)
-        if wish.cancel:
-            cancelled = await self._jobs.cancel(wish.pool, wish.cancel)
-        if wish.list_jobs:
-            jobs = tuple(await self._jobs.list_jobs(wish.pool))
+        if request.submit:
+            submitted = await self._jobs.submit(request.pool, request.submit)
+        if request.cancel:
+            cancelled = await self._jobs.cancel(request.pool, request.cancel)
+        if request.list_jobs:
+            jobs = tuple(await self._jobs.list_jobs(request.pool))
         return JobsAnswer(submitted, cancelled, jobs)
--- a/src/streamthread/jobs/service.py
+++ b/src/streamthread/jobs/service.py
@@ -22,9 +22,9 @@
 from ..timeline import Recorder
 from .attempts import AttemptCalls
 from .decide import decide_jobs
-from .decide import JobStep
-from .pool_jobs import ended_steps
+from .decide import JobUpdate
 from .pool_jobs import PoolJobs
+from .pool_jobs import updates_after_end
 from .rows import Job
 from .rows import JobSpec
 from .rows import JobState
@@ -49,7 +49,8 @@
     """Takes jobs in, places them, follows their attempts.
 
     A row that says STARTED is committed before the task is started. The start
-    is then repeated until it is answered: the platform runs one attempt once.
+    is then repeated until it is answered: the platform runs an attempt
+    only once.
     """
 
     def __init__(
@@ -86,10 +87,10 @@
         """
         self._check_specs(pool, specs)
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
-            steps = self._submitted_steps(pool, jobs, specs)
-            await self._table.commit_or_raise(pool, jobs, steps)
-        return len(steps)
+            jobs = await self._table.get_or_load(pool)
+            updates = self._submission_updates(pool, jobs, specs)
+            await self._table.commit_or_raise(pool, jobs, updates)
+        return len(updates)
 
     def _check_specs(self, pool: str, specs: t.Sequence[JobSpec]) -> None:
         if self._configuration.active.spec(pool_key(pool), PoolSpec) is None:
@@ -104,41 +105,43 @@
                     location=f"job/{spec.job_id}",
                 )
 
-    def _submitted_steps(
+    def _submission_updates(
         self, pool: str, jobs: PoolJobs, specs: t.Sequence[JobSpec]
-    ) -> list[JobStep]:
+    ) -> list[JobUpdate]:
         """Return the rows of the new jobs; those that are known stay as they are."""
-        steps: list[JobStep] = []
+        updates: list[JobUpdate] = []
         submitted_ms = self._recorder.clock.now().physical_ms
         for spec in specs:
             known = jobs.jobs.get(spec.job_id)
             if known is None:
                 job = Job(spec, submitted_ms=submitted_ms)
-                steps.append(JobStep(job, "submitted"))
+                updates.append(JobUpdate(job, "submitted"))
             elif known.job.spec != spec:
                 raise ConflictError(
                     f"job {spec.job_id!r} exists with other content",
                     remedy="choose another job_id",
                     location=f"job/{pool}/{spec.job_id}",
                 )
-        return steps
+        return updates
 
     async def cancel(self, pool: str, job_ids: t.Sequence[str]) -> int:
         """Cancel jobs in batches; return how many had not ended. Idempotent."""
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
-            steps = [
-                JobStep(attrs.evolve(stored.job, state=JobState.CANCELLED), "cancelled")
+            jobs = await self._table.get_or_load(pool)
+            updates = [
+                JobUpdate(
+                    attrs.evolve(stored.job, state=JobState.CANCELLED), "cancelled"
+                )
                 for job_id in job_ids
                 if (stored := jobs.jobs.get(job_id)) and not stored.job.ended
             ]
-            await self._table.commit_or_raise(pool, jobs, steps)
-        return len(steps)
+            await self._table.commit_or_raise(pool, jobs, updates)
+        return len(updates)
 
     async def list_jobs(self, pool: str) -> list[Job]:
         """Return the jobs of a pool that is held here."""
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
+            jobs = await self._table.get_or_load(pool)
         return [stored.job for stored in jobs.jobs.values()]
 
     def is_busy(self, instance_id: str) -> bool:
@@ -146,7 +149,7 @@
         jobs = self._table.get(self._views.pool_of(instance_id))
         if jobs is None:
             return False
-        return jobs.on_worker[instance_id] > 0 or bool(jobs.stops)
+        return jobs.attempts_on_worker[instance_id] > 0 or bool(jobs.pending_stops)
 
     # The loop.
 
@@ -157,7 +160,7 @@
             await self.sleep(self._settings.tick_s)
 
     async def tick(self) -> None:
-        """Follow the tasks and decide about every pool held here, once."""
+        """Process the task reports, then decide once about each pool held here."""
         try:
             tasks = await self._attempts.changes()
         except StoreUnavailableError as error:
@@ -172,7 +175,7 @@
 
     def _held_pools(self) -> frozenset[str]:
         held = self._held.names()
-        self._table.forget_all_but(held)
+        self._table.unload_all_but(held)
         return held
 
     def _has_work(self, pool: str) -> bool:
@@ -180,21 +183,21 @@
         jobs = self._table.loaded(pool)
         if jobs is None:
             return True
-        waiting = bool(jobs.unconfirmed or jobs.stops or jobs.reported)
+        waiting = bool(jobs.unconfirmed or jobs.pending_stops or jobs.pending_reports)
         return waiting or self._may_decide(jobs)
 
     async def _decide(self, pool: str, tasks: t.Sequence[Task]) -> None:
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
-            # Reports come once: they are kept until what follows is committed.
-            jobs.reported.extend(tasks)
-            jobs.note_running(jobs.reported)
-            steps = ended_steps(jobs, jobs.reported)
-            await self._table.commit(pool, jobs, steps)
-            jobs.reported.clear()
+            jobs = await self._table.get_or_load(pool)
+            # Each report arrives only once. Keep it until its updates are committed.
+            jobs.pending_reports.extend(tasks)
+            jobs.stop_superseded(jobs.pending_reports)
+            updates = updates_after_end(jobs, jobs.pending_reports)
+            await self._table.commit(pool, jobs, updates)
+            jobs.pending_reports.clear()
             if self._table.is_current(pool, jobs) and self._is_due(jobs):
-                steps = decide_jobs(self._snapshots.read(pool, jobs))
-                await self._table.commit(pool, jobs, steps)
+                updates = decide_jobs(self._snapshots.read(pool, jobs))
+                await self._table.commit(pool, jobs, updates)
         await self._stop_attempts(jobs)
         await self._start_attempts(pool, jobs)
 
@@ -223,23 +226,23 @@
 
     async def _start_attempts(self, pool: str, jobs: PoolJobs) -> None:
         async def on_refused(job: Job, cause: str, may_run: bool) -> None:
-            await self._take_back(pool, jobs, job, cause, may_run)
+            await self._requeue_or_park(pool, jobs, job, cause, may_run)
 
         await self._attempts.start_all(jobs, on_refused)
 
-    async def _take_back(
+    async def _requeue_or_park(
         self, pool: str, jobs: PoolJobs, job: Job, cause: str, may_run: bool
     ) -> None:
         """Queue again what was refused; park it where it might run twice.
 
         :param may_run: whether an earlier try may run, which is stopped then.
         """
-        once = may_run and not job.spec.repeat_safe
-        state = JobState.PARKED if once else JobState.QUEUED
+        unsafe_to_repeat = may_run and not job.spec.repeat_safe
+        state = JobState.PARKED if unsafe_to_repeat else JobState.QUEUED
         async with self._table.lock(pool):
             stored = jobs.jobs[job.spec.job_id]
             if stored.job == job and self._table.is_current(pool, jobs):
                 after = attrs.evolve(job, state=state, reason=cause)
-                await self._table.commit(pool, jobs, [JobStep(after, cause)])
+                await self._table.commit(pool, jobs, [JobUpdate(after, cause)])
                 if not may_run:
-                    jobs.stops.pop((job.spec.job_id, job.attempt), None)
+                    jobs.pending_stops.pop((job.spec.job_id, job.attempt), None)
--- a/src/streamthread/jobs/snapshots.py
+++ b/src/streamthread/jobs/snapshots.py
@@ -44,7 +44,7 @@
     def _workers(self, pool: str, jobs: PoolJobs) -> t.Iterator[WorkerFacts]:
         view = self._views.view(pool)
         states = view.states if view else {}
-        refused = self._quarantined(states, jobs)
+        quarantined = self._quarantined(states, jobs)
         for instance_id, state in states.items():
             instance = self._catalog.instances.get(instance_id)
             if instance is None or not instance.cores:
@@ -56,7 +56,7 @@
                 instance.cores,
                 instance.memory_bytes,
                 instance.accelerators,
-                open=serving and live and instance_id not in refused,
+                open=serving and live and instance_id not in quarantined,
                 leaving=state is MemberState.DRAINING,
                 labels=self._catalog.labels(instance_id),
             )
@@ -68,11 +68,11 @@
         for instance_id in instance_ids:
             if instance_id in self._catalog.instances:
                 boot = self._catalog.instances[instance_id].boot
-                jobs.quarantine.note_boot(instance_id, boot)
+                jobs.quarantine.record_boot(instance_id, boot)
         return jobs.quarantine.members(list(instance_ids))
 
 
 def _in_order_of_submission(jobs: PoolJobs) -> tuple[Job, ...]:
-    current = [jobs.jobs[job_id].job for job_id in jobs.current]
+    current = [jobs.jobs[job_id].job for job_id in jobs.unfinished]
     current.sort(key=lambda job: (job.submitted_ms, job.spec.job_id))
     return tuple(current)
--- a/src/streamthread/jobs/table.py
+++ b/src/streamthread/jobs/table.py
@@ -1,4 +1,4 @@
-"""The jobs of the pools held here: loaded, kept in memory, committed in steps."""
+"""The jobs of the pools held here: loaded, kept in memory, committed in updates."""
 
 import asyncio
 import typing as t
@@ -21,7 +21,7 @@
 from ..providers import Write
 from ..timeline import Recorder
 from .attempts import AttemptCalls
-from .decide import JobStep
+from .decide import JobUpdate
 from .pool_jobs import PoolJobs
 from .rows import Job
 from .rows import job_key
@@ -33,7 +33,7 @@
 
 
 class JobTable:
-    """Loads pools' jobs at take-over, and commits steps of them.
+    """Loads pools' jobs at take-over, and commits updates of them.
 
     A commit carries the epoch and the rows' versions. One that is refused or
     unknown makes the pool's jobs be read again before anything else.
@@ -71,7 +71,7 @@
         """Whether these are still the pool's jobs: no commit failed since."""
         return self._pools.get(pool) is jobs
 
-    def forget_all_but(self, held: t.AbstractSet[str]) -> None:
+    def unload_all_but(self, held: t.AbstractSet[str]) -> None:
         """Forget the pools that are not held here."""
         for name in self._pools.keys() - held:
             del self._pools[name]
@@ -88,7 +88,7 @@
             return None
         return jobs
 
-    async def current(self, pool: str) -> PoolJobs:
+    async def get_or_load(self, pool: str) -> PoolJobs:
         """Return a pool's jobs, reading them where they are not loaded.
 
         :raises NotHolderError: the pool's shard is not held here.
@@ -106,21 +106,21 @@
             _restore(jobs, row)
         await self._attempts.read_reports(jobs)
         # Reports come once: those of older attempts came before the jobs were known.
-        jobs.note_running(self._attempts.running())
+        jobs.stop_superseded(self._attempts.running())
         self._pools[pool] = jobs
         return jobs
 
     # Commits.
 
     async def commit_or_raise(
-        self, pool: str, jobs: PoolJobs, steps: t.Sequence[JobStep]
+        self, pool: str, jobs: PoolJobs, updates: t.Sequence[JobUpdate]
     ) -> None:
         """Commit what an operator asked for.
 
         :raises NotHolderError: a row was changed by another holder.
         :raises OutcomeUnknownError: the answer was lost.
         """
-        outcome = await self.commit(pool, jobs, steps)
+        outcome = await self.commit(pool, jobs, updates)
         if outcome is CommitOutcome.CONFLICTED:
             raise NotHolderError(
                 f"pool {pool!r} is held elsewhere by now",
@@ -135,12 +135,12 @@
             )
 
     async def commit(
-        self, pool: str, jobs: PoolJobs, steps: t.Sequence[JobStep]
+        self, pool: str, jobs: PoolJobs, updates: t.Sequence[JobUpdate]
     ) -> CommitOutcome:
-        """Commit steps in batches, up to the first that is not committed."""
-        for start in range(0, len(steps), MAX_ROWS_PER_TRANSACTION):
-            batch = steps[start : start + MAX_ROWS_PER_TRANSACTION]
-            writes = tuple(_write(pool, jobs, step) for step in batch)
+        """Commit updates in batches, up to the first that is not committed."""
+        for start in range(0, len(updates), MAX_ROWS_PER_TRANSACTION):
+            batch = updates[start : start + MAX_ROWS_PER_TRANSACTION]
+            writes = tuple(_write(pool, jobs, update) for update in batch)
             transaction = Transaction(writes, self._fences(pool, jobs, batch))
             result = await self._send(transaction)
             if result.conflicting_keys == (pool_key(pool),):
@@ -148,19 +148,19 @@
             if not result.committed:
                 self._pools.pop(pool, None)
                 return result.outcome
-            for step in batch:
-                self._keep(pool, jobs, step)
+            for update in batch:
+                self._apply(pool, jobs, update)
         return CommitOutcome.COMMITTED
 
     def _fences(
-        self, pool: str, jobs: PoolJobs, steps: t.Iterable[JobStep]
+        self, pool: str, jobs: PoolJobs, updates: t.Iterable[JobUpdate]
     ) -> tuple[Fence, ...]:
         """The shard's epoch; for starts also the pool's row as it was decided on.
 
         So no job starts on a worker that is granted away at the same time.
         """
         view = self._views.view(pool)
-        starts = any(step.job.state is JobState.STARTED for step in steps)
+        starts = any(update.job.state is JobState.STARTED for update in updates)
         if not starts or view is None:
             return (jobs.fence,)
         return jobs.fence, Fence(pool_key(pool), view.version)
@@ -172,15 +172,15 @@
             except StoreThrottledError:
                 await asyncio.sleep(self._throttled_pause_s)
 
-    def _keep(self, pool: str, jobs: PoolJobs, step: JobStep) -> None:
-        job = step.job
+    def _apply(self, pool: str, jobs: PoolJobs, update: JobUpdate) -> None:
+        job = update.job
         job_id = job.spec.job_id
         jobs.replace(job, jobs.version_of(job_id) + 1)
         self._recorder.record(
             AREA,
             f"job-{job.state.value}",
             f"job/{pool}/{job_id}",
-            f"attempt {job.attempt} on {job.worker_id or 'no worker'}: {step.cause}",
+            f"attempt {job.attempt} on {job.worker_id or 'no worker'}: {update.cause}",
             epoch=jobs.fence.version,
         )
 
@@ -189,15 +189,15 @@
     """Keep a job as an earlier holder left it; its last attempt may still run."""
     job = cattrs.structure(row.value, Job)
     job_id = job.spec.job_id
-    jobs.keep(job, row.version)
+    jobs.put(job, row.version)
     if job.state is JobState.STARTED:
         jobs.unconfirmed.add(job_id)
-        jobs.unanswered.add(job_id)
+        jobs.outcome_unknown.add(job_id)
     elif job.attempt and job.state is not JobState.DONE:
-        jobs.stops[(job_id, job.attempt)] = False
+        jobs.pending_stops[(job_id, job.attempt)] = False
 
 
-def _write(pool: str, jobs: PoolJobs, step: JobStep) -> Write:
-    job_id = step.job.spec.job_id
-    value = cattrs.unstructure(step.job)
+def _write(pool: str, jobs: PoolJobs, update: JobUpdate) -> Write:
+    job_id = update.job.spec.job_id
+    value = cattrs.unstructure(update.job)
     return Write(job_key(pool, job_id), value, jobs.version_of(job_id))
--- a/src/streamthread/jobs/tests/test_decide.py
+++ b/src/streamthread/jobs/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""The decision about jobs: room, quotas, urgent ones, those that cannot run."""
+"""Placement within capacity and quota, preemption, parking and quarantine."""
 
 import attrs
 import hypothesis
@@ -54,10 +54,10 @@
         snapshot = JobsSnapshot(tuple(given), workers, {"team": quota})
         after = {job.spec.job_id: job for job in given}
         starts = []
-        for step in decide_jobs(snapshot):
-            after[step.job.spec.job_id] = step.job
-            if step.job.state is JobState.STARTED:
-                starts.append(step.job)
+        for update in decide_jobs(snapshot):
+            after[update.job.spec.job_id] = update.job
+            if update.job.state is JobState.STARTED:
+                starts.append(update.job)
         running = [job for job in after.values() if job.state is JobState.STARTED]
         for worker in {job.worker_id for job in starts}:
             used = sum(job.spec.cores for job in running if job.worker_id == worker)
@@ -66,22 +66,22 @@
             assert sum(job.spec.cores for job in running) <= quota
 
     @hypothesis.given(jobs)
-    def test_job_that_may_not_be_repeated_is_never_pushed_aside(
+    def test_job_that_is_not_repeat_safe_is_never_preempted(
         self, given: list[Job]
     ) -> None:
         workers = tuple(_worker(f"w{number}") for number in range(3))
-        for step in decide_jobs(JobsSnapshot(tuple(given), workers)):
-            before = next(job for job in given if job.spec == step.job.spec)
+        for update in decide_jobs(JobsSnapshot(tuple(given), workers)):
+            before = next(job for job in given if job.spec == update.job.spec)
             if before.state is JobState.STARTED:
                 assert before.spec.repeat_safe
                 assert not before.spec.urgent
 
     def test_tightest_worker_wins(self) -> None:
         workers = (_worker("large", 16), _worker("small", 4))
-        (step,) = decide_jobs(JobsSnapshot((Job(_spec("j")),), workers))
-        assert step.job.worker_id == "small"
+        (update,) = decide_jobs(JobsSnapshot((Job(_spec("j")),), workers))
+        assert update.job.worker_id == "small"
 
-    def test_urgent_job_has_the_cheapest_pushed_aside(self) -> None:
+    def test_urgent_job_preempts_the_cheapest(self) -> None:
         workers = (_worker("w0"), _worker("w1"))
         running = (
             _started(_spec("big", 8), "w0"),
@@ -89,31 +89,34 @@
             _started(_spec("b", 4), "w1"),
         )
         urgent = Job(_spec("now", 4, urgent=True))
-        aside, start = decide_jobs(JobsSnapshot((*running, urgent), workers))
-        assert (aside.job.spec.job_id, aside.job.state) == ("a", JobState.QUEUED)
+        preempted, start = decide_jobs(JobsSnapshot((*running, urgent), workers))
+        assert (preempted.job.spec.job_id, preempted.job.state) == (
+            "a",
+            JobState.QUEUED,
+        )
         assert (start.job.spec.job_id, start.job.worker_id) == ("now", "w1")
 
-    def test_long_jobs_leave_a_worker_that_leaves(self) -> None:
+    def test_long_jobs_are_checkpointed_on_a_draining_worker(self) -> None:
         leaving = _worker("w0", open=False, leaving=True)
         running = (
             _started(_spec("long"), "w0"),
             _started(_spec("short", run_s=5.0), "w0"),
         )
-        (step,) = decide_jobs(JobsSnapshot(running, (leaving,)))
-        assert (step.job.spec.job_id, step.job.state) == ("long", JobState.QUEUED)
+        (update,) = decide_jobs(JobsSnapshot(running, (leaving,)))
+        assert (update.job.spec.job_id, update.job.state) == ("long", JobState.QUEUED)
 
 
 class TestParking:
     def test_job_that_fits_nowhere_is_parked_with_the_reason(self) -> None:
         job = Job(_spec("j", 99))
-        (step,) = decide_jobs(JobsSnapshot((job,), (_worker("w0"),)))
-        assert step.job.state is JobState.PARKED
-        assert "large enough" in step.job.reason
+        (update,) = decide_jobs(JobsSnapshot((job,), (_worker("w0"),)))
+        assert update.job.state is JobState.PARKED
+        assert "large enough" in update.job.reason
 
     def test_job_that_failed_on_three_workers_is_parked(self) -> None:
         job = attrs.evolve(Job(_spec("j")), failed_on=("a", "b", "c"))
-        (step,) = decide_jobs(JobsSnapshot((job,), (_worker("w0"),)))
-        assert step.job.state is JobState.PARKED
+        (update,) = decide_jobs(JobsSnapshot((job,), (_worker("w0"),)))
+        assert update.job.state is JobState.PARKED
 
     def test_job_waits_while_the_pool_is_empty(self) -> None:
         assert decide_jobs(JobsSnapshot((Job(_spec("j")),), ())) == []
@@ -125,23 +128,23 @@
         workers = [f"w{number}" for number in range(10)]
         for worker in workers:
             for number in range(3 + (worker == "w7")):
-                quarantine.note(worker, f"j{number}", succeeded=False)
+                quarantine.record(worker, f"j{number}", succeeded=False)
         assert quarantine.members(workers) == {"w7", "w0"}
         assert quarantine.members(["w1"]) == set()
 
     def test_reboot_clears(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_boot("w0", 1)
+        quarantine.record_boot("w0", 1)
         for number in range(3):
-            quarantine.note("w0", f"j{number}", succeeded=False)
-        quarantine.note_boot("w0", 1)
+            quarantine.record("w0", f"j{number}", succeeded=False)
+        quarantine.record_boot("w0", 1)
         assert quarantine.members(["w0", "w1"]) == {"w0"}
-        quarantine.note_boot("w0", 2)
+        quarantine.record_boot("w0", 2)
         assert quarantine.members(["w0", "w1"]) == set()
 
     def test_success_clears(self) -> None:
         quarantine = Quarantine()
         for number in range(3):
-            quarantine.note("w0", f"j{number}", succeeded=False)
-        quarantine.note("w0", "j9", succeeded=True)
+            quarantine.record("w0", f"j{number}", succeeded=False)
+        quarantine.record("w0", "j9", succeeded=True)
         assert quarantine.members(["w0", "w1"]) == set()
--- a/src/streamthread/jobs/tests/test_lost_workers.py
+++ b/src/streamthread/jobs/tests/test_lost_workers.py
@@ -11,8 +11,8 @@
 from streamthread.jobs import JobsSnapshot
 from streamthread.jobs import JobState
 from streamthread.jobs import WorkerFacts
-from streamthread.jobs.pool_jobs import ended_steps
 from streamthread.jobs.pool_jobs import PoolJobs
+from streamthread.jobs.pool_jobs import updates_after_end
 from streamthread.providers import Fence
 from streamthread.providers import Task
 from streamthread.providers import TaskState
@@ -32,18 +32,18 @@
         self.at_fault = at_fault
         self.lost_workers = 0
         for name in names:
-            self.jobs.keep(_job(name), 1)
+            self.jobs.put(_job(name), 1)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Decide once, and lose the worker of the job at fault with all on it."""
         stored = tuple(known.job for known in self.jobs.jobs.values())
-        for step in decide_jobs(JobsSnapshot(stored, WORKERS)):
-            self.jobs.keep(step.job, 1)
-        job = self.of(self.at_fault)
+        for update in decide_jobs(JobsSnapshot(stored, WORKERS)):
+            self.jobs.put(update.job, 1)
+        job = self.job(self.at_fault)
         if job.state is not JobState.STARTED:
             return
         self.lost_workers += 1
-        beside = [
+        lost_tasks = [
             Task(
                 known.job.spec.job_id,
                 known.job.attempt,
@@ -54,25 +54,25 @@
             if known.job.state is JobState.STARTED
             and known.job.worker_id == job.worker_id
         ]
-        for step in ended_steps(self.jobs, beside):
-            self.jobs.keep(step.job, 1)
+        for update in updates_after_end(self.jobs, lost_tasks):
+            self.jobs.put(update.job, 1)
 
-    def of(self, name: str) -> Job:
+    def job(self, name: str) -> Job:
         return self.jobs.jobs[name].job
 
 
 class TestLostWorkers:
-    def test_park_the_job_that_lost_them_and_nothing_that_ran_beside(self) -> None:
+    def test_park_only_the_job_that_caused_the_losses(self) -> None:
         pool = _Pool(["a", "b", "c", "x"], at_fault="x")
         for _ in range(10):
-            pool.look()
-        assert pool.of("x").state is JobState.PARKED
+            pool.tick()
+        assert pool.job("x").state is JobState.PARKED
         assert pool.lost_workers == 3
-        assert {pool.of(name).state for name in "abc"} == {JobState.STARTED}
+        assert {pool.job(name).state for name in "abc"} == {JobState.STARTED}
 
-    def test_keep_nobody_waiting_where_there_are_few(self) -> None:
+    def test_start_on_one_worker_where_it_is_the_only_one(self) -> None:
         jobs = tuple(
             attrs.evolve(_job(name), attempt=1, failed_on=("gone",)) for name in "abc"
         )
-        steps = decide_jobs(JobsSnapshot(jobs, WORKERS[:1]))
-        assert [step.job.state for step in steps] == [JobState.STARTED] * 3
+        updates = decide_jobs(JobsSnapshot(jobs, WORKERS[:1]))
+        assert [update.job.state for update in updates] == [JobState.STARTED] * 3
--- a/tools/guards_entry.py
+++ b/tools/guards_entry.py
@@ -194,7 +194,7 @@
     Guard(
         "late-attempt-is-stopped",
         "jobs/service.py",
-        "            jobs.note_running(jobs.reported)\n",
+        "            jobs.stop_superseded(jobs.pending_reports)\n",
         "",
         ("tests/test_job_cancels.py::TestCancelledJob",),
     ),
@@ -215,7 +215,7 @@
     Guard(
         "failed-jobs-go-apart",
         "jobs/decide.py",
-        "                suspect and room.has_failed_jobs,\n",
+        "                suspect and free.has_failed_jobs,\n",
         "",
         ("src/streamthread/jobs/tests/test_lost_workers.py",),
     ),
