--- a/src/streamthread/jobs/decide.py
+++ b/src/streamthread/jobs/decide.py
@@ -1,4 +1,4 @@
-"""The decision about the jobs of one pool: a pure function."""
+"""Decides which jobs of one pool to start, preempt or park, as a pure function."""
 
 import typing as t
 
@@ -12,18 +12,23 @@
 __all__ = ["JobUpdate", "JobsSnapshot", "WorkerFacts", "decide_jobs"]
 
 MAX_DISTINCT_FAILURES = 3
-"""A job that failed on this many workers is parked."""
+"""A job is parked once it has failed on this many distinct workers."""
 
 LONG_JOB_S = 60.0
-"""A worker that leaves waits for jobs that are shorter than this."""
+"""Run time in seconds up to which a job may finish on a draining worker.
+
+Longer jobs are checkpointed and queued again if they are repeat-safe.
+"""
 
 
 @attrs.frozen
 class WorkerFacts:
-    """One worker of the pool.
+    """Describes one worker of the pool.
 
-    :param open: whether it takes new jobs (serving, live, not quarantined).
-    :param leaving: whether it was granted away; long jobs are checkpointed.
+    :param open: whether the worker accepts new jobs, which means that it is serving,
+        live and not quarantined.
+    :param leaving: whether the worker drains for a wave, a hold or a move to another
+        pool. Its long jobs are checkpointed.
     """
 
     worker_id: str
@@ -37,9 +42,11 @@
 
 @attrs.frozen
 class JobsSnapshot:
-    """Everything a decision depends on; jobs in order of submission.
+    """Holds all inputs of a decision.
 
-    :param quota_cores: the cores each team may use; absent is unlimited.
+    :param jobs: the jobs that have not ended, in order of submission.
+    :param quota_cores: the number of cores that each team may use. A team that is
+        absent has no limit.
     """
 
     jobs: tuple[Job, ...]
@@ -49,7 +56,10 @@
 
 @attrs.frozen
 class JobUpdate:
-    """One job's row replaced, and why; its new state says what to do."""
+    """Replaces one job's row. The new state of the job determines what to do.
+
+    :param cause: why the row is replaced.
+    """
 
     job: Job
     cause: str
@@ -59,7 +69,7 @@
 class _FreeCapacity:
     """Tracks the free capacity of one worker while a decision is made.
 
-    :param has_failed_jobs: something runs there that has failed elsewhere.
+    :param has_failed_jobs: whether a job runs there that has failed before.
     """
 
     facts: WorkerFacts
@@ -82,7 +92,7 @@
 
 
 def decide_jobs(snapshot: JobsSnapshot) -> list[JobUpdate]:
-    """Return the rows to replace now: starts, checkpoints and parkings."""
+    """Return the updates that start, checkpoint or park jobs now."""
     return _Decision(snapshot).updates()
 
 
@@ -146,10 +156,11 @@
         return quota is None or used + spec.cores <= quota
 
     def _tightest_fit(self, job: Job) -> _FreeCapacity | None:
-        """The tightest fit, on a worker that it has not failed on.
+        """Return the worker that fits most tightly and on which the job has not failed.
 
-        Jobs that have failed go apart: all that ran on a worker that was lost is told
-        as failed, and what only ran beside the cause would be parked with it.
+        Jobs that have failed are spread over different workers where possible. When a
+        worker is lost, every job on it is reported as failed. Without the spreading,
+        jobs that only ran next to the cause would be parked along with it.
         """
         fitting = [
             free
@@ -196,7 +207,7 @@
         self._team_cores[team] = self._team_cores.get(team, 0) + job.spec.cores
 
     def _preempt_for(self, job: Job) -> list[JobUpdate]:
-        """Checkpoint the fewest cores' worth of preemptible jobs on one worker."""
+        """Preempt jobs on the worker where that checkpoints the fewest cores."""
         best: list[Job] = []
         for free in self._free.values():
             if not self._is_open_for(job, free):
