--- a/src/streamthread/jobs/attempts.py
+++ b/src/streamthread/jobs/attempts.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's workers about the attempts of jobs."""
+"""Calls the platform's workers to start, stop and follow attempts of jobs."""
 
 import asyncio
 import typing as t
@@ -17,15 +17,18 @@
 __all__ = ["AttemptCalls", "OnRefused"]
 
 PARALLEL_CALLS = 20
-"""Calls about one pool's attempts that wait for their answers at once."""
+"""Maximum number of concurrent calls about the attempts of one pool."""
 
 OnRefused = t.Callable[[Job, str, bool], t.Awaitable[None]]
-"""Called with a job whose worker refused its attempt, the cause, and whether an
-earlier try may have begun it, or may still do so."""
+"""Handles a job whose worker refused its attempt.
+
+Receives the job, the cause, and whether an earlier start call may have started the
+attempt or may still start it.
+"""
 
 
 class AttemptCalls:
-    """Starts and stops attempts, and reads what became of them."""
+    """Starts and stops attempts and reads the reports about them."""
 
     def __init__(self, workers: Workers) -> None:
         self._workers = workers
@@ -33,7 +36,7 @@
         self._running: dict[tuple[str, int], Task] = {}
 
     async def changes(self) -> tuple[Task, ...]:
-        """Return the reports since the last call."""
+        """Return the reports that arrived since the previous call."""
         changes = await self._workers.task_changes(self._cursor)
         self._cursor = changes.cursor
         for task in changes.tasks:
@@ -41,11 +44,11 @@
         return changes.tasks
 
     def running(self) -> tuple[Task, ...]:
-        """Return what runs by the reports so far, of all pools."""
+        """Return the attempts of all pools that run according to the reports so far."""
         return tuple(self._running.values())
 
     def _track(self, task: Task) -> None:
-        """Keep what runs: a report comes once, what it says lasts."""
+        """Remember running attempts, because each report arrives only once."""
         key = (task.job_id, task.attempt)
         if task.state is TaskState.RUNNING:
             self._running[key] = task
@@ -53,7 +56,7 @@
             self._running.pop(key, None)
 
     async def read_reports(self, jobs: PoolJobs) -> None:
-        """Ask for each started attempt's report: it may have ended meanwhile."""
+        """Read the report of each unconfirmed attempt. It may have ended meanwhile."""
         limit = asyncio.Semaphore(PARALLEL_CALLS)
 
         async def read(job: Job) -> None:
@@ -66,7 +69,7 @@
         await asyncio.gather(*(read(job) for job in started))
 
     async def start_all(self, jobs: PoolJobs, on_refused: OnRefused) -> None:
-        """Start what is committed as started and was not answered yet."""
+        """Start the attempts committed as started whose start is unconfirmed."""
         limit = asyncio.Semaphore(PARALLEL_CALLS)
 
         async def start(job: Job) -> None:
@@ -96,7 +99,11 @@
     async def _handle_refusal(
         self, jobs: PoolJobs, job: Job, cause: str, on_refused: OnRefused
     ) -> None:
-        """Take a refusal for what it says: it is about this try only."""
+        """Handle a refusal, which is about this start call only.
+
+        If the outcome of an earlier call is unknown, that call may have started the
+        attempt. Its report is therefore looked up first.
+        """
         job_id = job.spec.job_id
         if job_id not in jobs.outcome_unknown:
             await on_refused(job, cause, False)
@@ -112,12 +119,13 @@
         jobs.unconfirmed.discard(job_id)
 
     async def stop_all(self, jobs: PoolJobs) -> None:
-        """Stop the attempts that have to be, and forget those that do not run.
+        """Send all pending stops, then drop those whose attempts do not run.
 
-        An answer settles nothing: a stop is sent again until the report that its
-        attempt runs is followed by one that it ended.
+        An answer does not complete a stop. The stop of an attempt that was reported as
+        running is sent again until a report says that the attempt ended.
 
-        :raises StoreUnavailableError: not all was answered; all is kept.
+        :raises StoreUnavailableError: not every call was answered. All stops remain
+            pending.
         """
         stops = dict(jobs.pending_stops)
         plain = [task for task, checkpoint in stops.items() if not checkpoint]
--- a/src/streamthread/jobs/pool_jobs.py
+++ b/src/streamthread/jobs/pool_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of one pool in the memory of their holder."""
+"""Keeps the jobs of one pool in the memory of their holder."""
 
 import collections
 import typing as t
@@ -19,7 +19,7 @@
 
 @attrs.define
 class StoredJob:
-    """A job and the version of its row."""
+    """Pairs a job with the version of its row."""
 
     job: Job
     version: int
@@ -27,14 +27,14 @@
 
 @attrs.define
 class PoolJobs:
-    """The jobs of one pool, as loaded under one epoch.
+    """Holds the jobs of one pool, as loaded under one epoch.
 
     :param unfinished: the jobs that have not ended.
-    :param unconfirmed: started jobs whose start was not answered yet.
+    :param unconfirmed: started jobs whose start call has not been answered yet.
     :param outcome_unknown: started jobs for which a start call may have got no answer,
         from this holder or an earlier one. A later refusal does not rule out that the
         earlier call started the attempt.
-    :param pending_stops: attempts to be stopped, and whether with a checkpoint.
+    :param pending_stops: the attempts to stop, each with whether to checkpoint it.
     :param pending_reports: reports of attempts that are not processed yet: those from
         before the jobs were loaded, and those read while the store was down.
     :param changed: whether something changed since the last decision.
@@ -61,7 +61,7 @@
         return known.version if known else ABSENT
 
     def put(self, job: Job, version: int) -> Job | None:
-        """Put a job in place of its earlier row; return that."""
+        """Store a job in memory and return the job that it replaces, if any."""
         job_id = job.spec.job_id
         known = self.jobs.get(job_id)
         if known is not None and known.job.state is JobState.STARTED:
@@ -75,7 +75,7 @@
         return known.job if known else None
 
     def replace(self, job: Job, version: int) -> None:
-        """Put in place what was committed here, and note what follows from it."""
+        """Store a job committed by this holder and schedule the resulting calls."""
         before = self.put(job, version)
         if before is not None and before.state is JobState.STARTED:
             self._handle_ended_attempt(before, job)
@@ -83,7 +83,10 @@
             self.unconfirmed.add(job.spec.job_id)
 
     def _handle_ended_attempt(self, before: Job, after: Job) -> None:
-        """Have the attempt stopped, or its worker trusted less, as it ended."""
+        """Schedule the stop of the previous attempt if needed and record its result.
+
+        The result counts for or against the worker in the quarantine.
+        """
         job_id = before.spec.job_id
         self.unconfirmed.discard(job_id)
         self.outcome_unknown.discard(job_id)
@@ -96,9 +99,10 @@
             self.quarantine.record(before.worker_id, job_id, succeeded=False)
 
     def stop_superseded(self, tasks: t.Iterable[Task]) -> None:
-        """Have attempts stopped that run though their jobs' rows want nothing of them.
+        """Schedule stops for running attempts that the jobs' rows no longer ask for.
 
-        A stop that was answered says nothing of a start that is carried out after it.
+        An answered stop does not rule out such an attempt, because a delayed start may
+        be carried out after the stop.
         """
         for task in tasks:
             stored = self.jobs.get(task.job_id)
@@ -118,13 +122,13 @@
             ids.discard(job_id)
 
     def needs_decision(self, now_s: float, sweep_s: float) -> bool:
-        """Whether a decision could do anything."""
+        """Return whether a decision could change anything."""
         overdue = bool(self.queued) and now_s - self.decided_at_s >= sweep_s
         return self.changed or overdue
 
 
 def updates_after_end(jobs: PoolJobs, tasks: t.Iterable[Task]) -> list[JobUpdate]:
-    """Return the rows to replace because their attempts have ended."""
+    """Return the updates of jobs whose current attempts have ended."""
     updates: list[JobUpdate] = []
     for task in tasks:
         stored = jobs.jobs.get(task.job_id)
