--- a/src/streamthread/jobs/quarantine.py
+++ b/src/streamthread/jobs/quarantine.py
@@ -1,12 +1,15 @@
-"""Workers that fail everything they start take no more jobs, under a cap."""
+"""Quarantines workers that fail job after job, up to a part of the pool."""
 
 __all__ = ["Quarantine"]
 
 FAILURES_BEFORE_QUARANTINE = 3
-"""Distinct jobs in a row that a worker fails before it is quarantined."""
+"""Number of distinct jobs that a worker fails in a row before it is quarantined."""
 
 MAX_QUARANTINED_FRACTION = 0.2
-"""At most this part of a pool is quarantined; one may always be, never all."""
+"""Maximum fraction of a pool's workers in quarantine.
+
+One worker may always be quarantined, but never all workers of a pool.
+"""
 
 
 class Quarantine:
@@ -17,20 +20,20 @@
         self._boots: dict[str, int] = {}
 
     def record_boot(self, worker_id: str, boot: int) -> None:
-        """Trust a worker again after a reboot."""
+        """Record a worker's boot number. A reboot clears its failures."""
         if self._boots.get(worker_id, boot) != boot:
             self._failed_jobs.pop(worker_id, None)
         self._boots[worker_id] = boot
 
     def record(self, worker_id: str, job_id: str, succeeded: bool) -> None:
-        """Note the end of an attempt."""
+        """Record the result of an attempt. A success clears the worker's failures."""
         if succeeded:
             self._failed_jobs.pop(worker_id, None)
         else:
             self._failed_jobs.setdefault(worker_id, set()).add(job_id)
 
     def members(self, pool_workers: list[str]) -> set[str]:
-        """Return the quarantined workers of a pool: the worst, up to the cap."""
+        """Return the workers in quarantine: those with most failures, up to the cap."""
         failing = [
             worker_id
             for worker_id in pool_workers
--- a/src/streamthread/jobs/rows.py
+++ b/src/streamthread/jobs/rows.py
@@ -1,4 +1,4 @@
-"""Jobs and their numbered attempts, as kept in table rows."""
+"""Defines jobs and their numbered attempts, as persisted in table rows."""
 
 import enum
 
@@ -11,9 +11,9 @@
 
 
 class JobState(enum.Enum):
-    """Where a job stands.
+    """Represents the state of a job.
 
-    STARTED means that its present attempt may be running: the row says so
+    STARTED means that the current attempt may be running, because the row is committed
     before the task is started.
     """
 
@@ -32,12 +32,14 @@
 
 @attrs.frozen
 class JobSpec:
-    """What an operator submits.
-
-    :param job_id: chosen by the submitter; the same id twice is the same job.
-    :param run_s: the declared run time.
-    :param repeat_safe: whether another attempt may follow a failed or lost one.
-    :param urgent: may push aside jobs that are not urgent.
+    """Describes a job as an operator submits it.
+
+    :param job_id: chosen by the submitter. Submissions with the same id are the same
+        job.
+    :param run_s: the declared run time in seconds.
+    :param repeat_safe: whether the job may be attempted again after a failed or lost
+        attempt.
+    :param urgent: whether the job may preempt jobs that are not urgent.
     """
 
     job_id: str
@@ -54,12 +56,12 @@
 
 @attrs.frozen
 class Job:
-    """A job's row.
+    """Represents a job's row.
 
-    :param attempt: the number of the latest attempt; 0 before the first.
-    :param worker_id: where the latest attempt runs or ran.
-    :param failed_on: the distinct workers that it failed on.
-    :param submitted_ms: wall time of the submission, which orders the queue.
+    :param attempt: the number of the latest attempt, or 0 before the first.
+    :param worker_id: the worker on which the latest attempt runs or ran.
+    :param failed_on: the distinct workers on which the job failed.
+    :param submitted_ms: the wall-clock time of the submission, which orders the queue.
     """
 
     spec: JobSpec
@@ -72,7 +74,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will happen to it."""
+        """Return whether the job is in a final state."""
         return self.state in FINAL_STATES
 
 
--- a/src/streamthread/jobs/snapshots.py
+++ b/src/streamthread/jobs/snapshots.py
@@ -1,4 +1,4 @@
-"""Reads together what a decision about the jobs of one pool depends on."""
+"""Collects the inputs of a decision about the jobs of one pool."""
 
 import typing as t
 
@@ -18,7 +18,7 @@
 
 
 class JobsSnapshotReader:
-    """Makes snapshots from the catalog, the views and the configuration."""
+    """Creates snapshots from the catalog, the views and the configuration."""
 
     def __init__(
         self, active: ActiveConfiguration, catalog: Catalog, views: PoolViews
@@ -64,7 +64,7 @@
     def _quarantined(
         self, instance_ids: t.Collection[str], jobs: PoolJobs
     ) -> t.Container[str]:
-        """Return who is in quarantine; a reboot ends it."""
+        """Return the quarantined workers. A reboot ends a quarantine."""
         for instance_id in instance_ids:
             if instance_id in self._catalog.instances:
                 boot = self._catalog.instances[instance_id].boot
