--- a/src/streamthread/jobs/table.py
+++ b/src/streamthread/jobs/table.py
@@ -1,4 +1,4 @@
-"""The jobs of the pools held here: loaded, kept in memory, committed in updates."""
+"""Loads the jobs of pools held by this daemon and commits updates to them."""
 
 import asyncio
 import typing as t
@@ -33,12 +33,14 @@
 
 
 class JobTable:
-    """Loads pools' jobs at take-over, and commits updates of them.
+    """Loads a pool's jobs when this daemon becomes its holder and commits updates.
 
-    A commit carries the epoch and the rows' versions. One that is refused or
-    unknown makes the pool's jobs be read again before anything else.
+    A commit carries the epoch and the versions of the rows. If a commit is refused or
+    its outcome is unknown, the pool's jobs are read again before anything else. The
+    exception is a conflict on the pool's row alone.
 
-    :param throttled_pause_s: the pause after a commit that the store throttled.
+    :param throttled_pause_s: the pause before a commit that the store throttled is
+        retried.
     """
 
     def __init__(
@@ -60,26 +62,26 @@
         self._locks: dict[str, asyncio.Lock] = {}
 
     def lock(self, pool: str) -> asyncio.Lock:
-        """Return the lock to hold while a pool's jobs are loaded or committed."""
+        """Return the lock to hold while loading or committing a pool's jobs."""
         return self._locks.setdefault(pool, asyncio.Lock())
 
     def get(self, pool: str) -> PoolJobs | None:
-        """Return a pool's jobs where they are loaded, under whatever epoch."""
+        """Return a pool's jobs if they are loaded, under any epoch."""
         return self._pools.get(pool)
 
     def is_current(self, pool: str, jobs: PoolJobs) -> bool:
-        """Whether these are still the pool's jobs: no commit failed since."""
+        """Return whether the jobs are still loaded, so no commit has failed since."""
         return self._pools.get(pool) is jobs
 
     def unload_all_but(self, held: t.AbstractSet[str]) -> None:
-        """Forget the pools that are not held here."""
+        """Unload the pools that this daemon does not hold."""
         for name in self._pools.keys() - held:
             del self._pools[name]
 
     # Loading.
 
     def loaded(self, pool: str) -> PoolJobs | None:
-        """Return a pool's jobs where they were loaded under the present epoch.
+        """Return a pool's jobs if they were loaded under the current epoch.
 
         :raises NotHolderError: the pool's shard is not held here.
         """
@@ -89,10 +91,10 @@
         return jobs
 
     async def get_or_load(self, pool: str) -> PoolJobs:
-        """Return a pool's jobs, reading them where they are not loaded.
+        """Return a pool's jobs and load them first if necessary.
 
         :raises NotHolderError: the pool's shard is not held here.
-        :raises StoreUnavailableError: they could not be read.
+        :raises StoreUnavailableError: the jobs could not be read.
         """
         fence = self._leases.fence(pool_key(pool))
         jobs = self._pools.get(pool)
@@ -105,7 +107,8 @@
         for row in await self._tables.scan_all(f"job/{pool}/"):
             _restore(jobs, row)
         await self._attempts.read_reports(jobs)
-        # Reports come once: those of older attempts came before the jobs were known.
+        # Each report arrives only once, and those of older attempts may have arrived
+        # before the jobs were loaded.
         jobs.stop_superseded(self._attempts.running())
         self._pools[pool] = jobs
         return jobs
@@ -115,29 +118,29 @@
     async def commit_or_raise(
         self, pool: str, jobs: PoolJobs, updates: t.Sequence[JobUpdate]
     ) -> None:
-        """Commit what an operator asked for.
+        """Commit the updates of an operator's request.
 
-        :raises NotHolderError: a row was changed by another holder.
-        :raises OutcomeUnknownError: the answer was lost.
+        :raises NotHolderError: another holder changed a row.
+        :raises OutcomeUnknownError: the answer of the store was lost.
         """
         outcome = await self.commit(pool, jobs, updates)
         if outcome is CommitOutcome.CONFLICTED:
             raise NotHolderError(
-                f"pool {pool!r} is held elsewhere by now",
+                f"pool {pool!r} is now held by another daemon",
                 remedy="send it again",
                 location=pool_key(pool),
             )
         if outcome is CommitOutcome.UNKNOWN:
             raise OutcomeUnknownError(
-                "the answer of the store was lost",
-                remedy="send the same jobs again: the same job_id is the same job",
+                "the store did not confirm the commit; its outcome is unknown",
+                remedy="send the same request again; a job_id is submitted only once",
                 location=pool_key(pool),
             )
 
     async def commit(
         self, pool: str, jobs: PoolJobs, updates: t.Sequence[JobUpdate]
     ) -> CommitOutcome:
-        """Commit updates in batches, up to the first that is not committed."""
+        """Commit updates in batches up to the first batch that is not committed."""
         for start in range(0, len(updates), MAX_ROWS_PER_TRANSACTION):
             batch = updates[start : start + MAX_ROWS_PER_TRANSACTION]
             writes = tuple(_write(pool, jobs, update) for update in batch)
@@ -155,9 +158,10 @@
     def _fences(
         self, pool: str, jobs: PoolJobs, updates: t.Iterable[JobUpdate]
     ) -> tuple[Fence, ...]:
-        """The shard's epoch; for starts also the pool's row as it was decided on.
+        """Return the fences of a commit: the epoch, and for starts the pool's row.
 
-        So no job starts on a worker that is granted away at the same time.
+        The version of the pool's row keeps a job from starting on a worker that is
+        granted to a wave, a hold or another pool at the same time.
         """
         view = self._views.view(pool)
         starts = any(update.job.state is JobState.STARTED for update in updates)
@@ -186,7 +190,7 @@
 
 
 def _restore(jobs: PoolJobs, row: Row) -> None:
-    """Keep a job as an earlier holder left it; its last attempt may still run."""
+    """Load a job from its row. The latest attempt may still run on a worker."""
     job = cattrs.structure(row.value, Job)
     job_id = job.spec.job_id
     jobs.put(job, row.version)
