--- a/src/streamthread/jobs/router.py
+++ b/src/streamthread/jobs/router.py
@@ -1,4 +1,4 @@
-"""Brings operators' wishes about jobs to the holder of their pool."""
+"""Routes operators' requests about jobs to the holder of their pool."""
 
 import typing as t
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class PoolJobsRequest:
-    """Something asked about the jobs of one pool: submit, cancel, then list."""
+    """Asks to submit, then cancel, then list jobs of one pool."""
 
     pool: str
     submit: tuple[JobSpec, ...] = ()
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JobsAnswer:
-    """What came of a request; ``error`` is empty where it was carried out."""
+    """Answers a request. ``error`` is empty if the request succeeded."""
 
     submitted: int = 0
     cancelled: int = 0
@@ -41,7 +41,7 @@
 
 
 class JobRouter:
-    """Carries a request out here, or has the holder do it."""
+    """Handles a request in this daemon or forwards it to the holder."""
 
     def __init__(self, leases: LeaseService, jobs: JobService) -> None:
         self._leases = leases
@@ -49,10 +49,10 @@
         self.peers: PeerService | None = None
 
     async def handle(self, request: PoolJobsRequest) -> JobsAnswer:
-        """Carry a request out, wherever its pool is held.
+        """Handle a request, whichever daemon holds its pool.
 
-        :raises NotHolderError: nobody holds the pool at the moment.
-        :raises ConflictError: the holder refused it.
+        :raises NotHolderError: no daemon holds the pool at the moment.
+        :raises ConflictError: the holder refused the request.
         """
         key = pool_key(request.pool)
         if self._leases.holds(key):
@@ -60,8 +60,8 @@
         holder = self._leases.holder_of(key)
         if holder is None or self.peers is None:
             raise NotHolderError(
-                f"nobody holds pool {request.pool!r} at the moment",
-                remedy="send it again in some seconds",
+                f"no daemon holds pool {request.pool!r} at the moment",
+                remedy="retry in a few seconds",
                 location=key,
             )
         value = await self.peers.forward_jobs(holder, cattrs.unstructure(request))
@@ -71,7 +71,7 @@
         return answer
 
     async def serve(self, value: JsonObject) -> JsonObject:
-        """Carry out a request that a peer forwarded; its errors are answers."""
+        """Handle a request that a peer forwarded. Errors are returned as answers."""
         request = cattrs.structure(value, PoolJobsRequest)
         try:
             answer = await self._execute(request)
