--- a/src/streamthread/jobs/service.py
+++ b/src/streamthread/jobs/service.py
@@ -1,4 +1,4 @@
-"""Carries out decisions about the jobs of the pools that are held here."""
+"""Accepts, places and follows the jobs of the pools that this daemon holds."""
 
 import typing as t
 
@@ -36,9 +36,12 @@
 
 @attrs.frozen
 class JobSettings:
-    """Times of the jobs slice.
+    """Holds the intervals of the job service.
 
-    :param sweep_s: queued jobs are looked at so often even if nothing changed.
+    :param tick_s: the interval in which task reports are read and decisions made. It
+        is also the pause before a commit that the store throttled is retried.
+    :param sweep_s: the interval in which queued jobs are reconsidered even if nothing
+        has changed.
     """
 
     tick_s: float = 1.0
@@ -46,7 +49,7 @@
 
 
 class JobService(Service):
-    """Takes jobs in, places them, follows their attempts.
+    """Accepts jobs, places them on workers and follows their attempts.
 
     A row that says STARTED is committed before the task is started. The start
     is then repeated until it is answered: the platform runs an attempt
@@ -77,13 +80,13 @@
         self._snapshots = JobsSnapshotReader(configuration.active, catalog, views)
         views.listen(self._on_view)
 
-    # What operators ask.
+    # Requests of operators.
 
     async def submit(self, pool: str, specs: t.Sequence[JobSpec]) -> int:
-        """Take jobs in; return how many were new.
+        """Submit jobs and return how many of them were new.
 
-        :raises NotHolderError: the pool is held elsewhere.
-        :raises ConflictError: a job of the same id but other content exists.
+        :raises NotHolderError: another daemon holds the pool.
+        :raises ConflictError: a job with the same id but different content exists.
         """
         self._check_specs(pool, specs)
         async with self._table.lock(pool):
@@ -100,7 +103,7 @@
         for spec in specs:
             if spec.pool != pool:
                 raise BadInputError(
-                    f"job {spec.job_id!r} names another pool",
+                    f"job {spec.job_id!r} belongs to a different pool",
                     remedy="submit the jobs of one pool at a time",
                     location=f"job/{spec.job_id}",
                 )
@@ -108,7 +111,7 @@
     def _submission_updates(
         self, pool: str, jobs: PoolJobs, specs: t.Sequence[JobSpec]
     ) -> list[JobUpdate]:
-        """Return the rows of the new jobs; those that are known stay as they are."""
+        """Return the updates that add new jobs. Known jobs remain unchanged."""
         updates: list[JobUpdate] = []
         submitted_ms = self._recorder.clock.now().physical_ms
         for spec in specs:
@@ -118,14 +121,14 @@
                 updates.append(JobUpdate(job, "submitted"))
             elif known.job.spec != spec:
                 raise ConflictError(
-                    f"job {spec.job_id!r} exists with other content",
+                    f"job {spec.job_id!r} already exists with different content",
                     remedy="choose another job_id",
                     location=f"job/{pool}/{spec.job_id}",
                 )
         return updates
 
     async def cancel(self, pool: str, job_ids: t.Sequence[str]) -> int:
-        """Cancel jobs in batches; return how many had not ended. Idempotent."""
+        """Cancel jobs in batches and return how many had not ended. Idempotent."""
         async with self._table.lock(pool):
             jobs = await self._table.get_or_load(pool)
             updates = [
@@ -139,13 +142,13 @@
         return len(updates)
 
     async def list_jobs(self, pool: str) -> list[Job]:
-        """Return the jobs of a pool that is held here."""
+        """Return the jobs of a pool that this daemon holds."""
         async with self._table.lock(pool):
             jobs = await self._table.get_or_load(pool)
         return [stored.job for stored in jobs.jobs.values()]
 
     def is_busy(self, instance_id: str) -> bool:
-        """Whether an attempt may run on an instance of a pool held here."""
+        """Return whether an attempt may run on an instance of a pool held here."""
         jobs = self._table.get(self._views.pool_of(instance_id))
         if jobs is None:
             return False
@@ -164,14 +167,14 @@
         try:
             tasks = await self._attempts.changes()
         except StoreUnavailableError as error:
-            self.log.info("tasks not followed: %s", error)
+            self.log.info("task reports not read: %s", error)
             return
         for pool in self._held_pools():
             try:
                 if tasks or self._has_work(pool):
                     await self._decide(pool, tasks)
             except (NotHolderError, StoreUnavailableError) as error:
-                self.log.info("jobs of %s not decided: %s", pool, error)
+                self.log.info("no decision about the jobs of pool %s: %s", pool, error)
 
     def _held_pools(self) -> frozenset[str]:
         held = self._held.names()
@@ -179,7 +182,7 @@
         return held
 
     def _has_work(self, pool: str) -> bool:
-        """Whether a held pool is not loaded, or something waits in it."""
+        """Return whether a pool has to be loaded or has pending work."""
         jobs = self._table.loaded(pool)
         if jobs is None:
             return True
@@ -222,7 +225,7 @@
         try:
             await self._attempts.stop_all(jobs)
         except StoreUnavailableError as error:
-            self.log.info("stops asked again later: %s", error)
+            self.log.info("stops not confirmed, sending them again later: %s", error)
 
     async def _start_attempts(self, pool: str, jobs: PoolJobs) -> None:
         async def on_refused(job: Job, cause: str, may_run: bool) -> None:
@@ -233,9 +236,10 @@
     async def _requeue_or_park(
         self, pool: str, jobs: PoolJobs, job: Job, cause: str, may_run: bool
     ) -> None:
-        """Queue again what was refused; park it where it might run twice.
+        """Queue a refused job again, or park it if it might then run twice.
 
-        :param may_run: whether an earlier try may run, which is stopped then.
+        :param may_run: whether an earlier start call may have started the attempt. It
+            is stopped in that case.
         """
         unsafe_to_repeat = may_run and not job.spec.repeat_safe
         state = JobState.PARKED if unsafe_to_repeat else JobState.QUEUED
