--- a/src/streamthread/jobs/tests/test_lost_workers.py
+++ b/src/streamthread/jobs/tests/test_lost_workers.py
@@ -1,6 +1,7 @@
-"""A job that takes its workers down is parked, and only that one.
+"""Only the job that crashes its workers is parked.
 
-What runs on a worker that is lost is told as failed, whichever task was the cause.
+When a worker is lost, every job on it is reported as failed, whichever job caused the
+loss. Without spreading failed jobs, the others would reach the failure limit as well.
 """
 
 import attrs
@@ -25,7 +26,7 @@
 
 
 class _Pool:
-    """Decides about jobs; one of them takes down each worker that starts it."""
+    """Decides about jobs, one of which crashes each worker that starts it."""
 
     def __init__(self, names: list[str], at_fault: str) -> None:
         self.jobs = PoolJobs(Fence("shard/0", 1))
@@ -35,7 +36,7 @@
             self.jobs.put(_job(name), 1)
 
     def tick(self) -> None:
-        """Decide once, and lose the worker of the job at fault with all on it."""
+        """Decide once, then fail all jobs on the worker that runs the job at fault."""
         stored = tuple(known.job for known in self.jobs.jobs.values())
         for update in decide_jobs(JobsSnapshot(stored, WORKERS)):
             self.jobs.put(update.job, 1)
