--- a/src/streamthread/jobs/pool_jobs.py
+++ b/src/streamthread/jobs/pool_jobs.py
@@ -56,7 +56,7 @@
     quarantine: Quarantine = attrs.field(factory=Quarantine)
 
     def version_of(self, job_id: str) -> int:
-        """Return the version of a job's row, ABSENT where there is none."""
+        """Return the version of a job's row, or ABSENT if there is no row."""
         known = self.jobs.get(job_id)
         return known.version if known else ABSENT
 
