--- a/src/streamthread/jobs/service.py
+++ b/src/streamthread/jobs/service.py
@@ -1,4 +1,4 @@
-"""Carries out decisions about the jobs of the pools that are held here."""
+"""Accepts, places and follows the jobs of the pools that this daemon holds."""
 
 import typing as t
 
@@ -22,9 +22,9 @@
 from ..timeline import Recorder
 from .attempts import AttemptCalls
 from .decide import decide_jobs
-from .decide import JobStep
-from .pool_jobs import ended_steps
+from .decide import JobUpdate
 from .pool_jobs import PoolJobs
+from .pool_jobs import updates_after_end
 from .rows import Job
 from .rows import JobSpec
 from .rows import JobState
@@ -36,9 +36,12 @@
 
 @attrs.frozen
 class JobSettings:
-    """Times of the jobs slice.
+    """Holds the intervals of the job service.
 
-    :param sweep_s: queued jobs are looked at so often even if nothing changed.
+    :param tick_s: the interval in which task reports are read and decisions made. It
+        is also the pause before a commit that the store throttled is retried.
+    :param sweep_s: the interval in which queued jobs are reconsidered even if nothing
+        has changed.
     """
 
     tick_s: float = 1.0
@@ -46,10 +49,11 @@
 
 
 class JobService(Service):
-    """Takes jobs in, places them, follows their attempts.
+    """Accepts jobs, places them on workers and follows their attempts.
 
     A row that says STARTED is committed before the task is started. The start
-    is then repeated until it is answered: the platform runs one attempt once.
+    is then repeated until it is answered: the platform runs an attempt
+    only once.
     """
 
     def __init__(
@@ -76,20 +80,20 @@
         self._snapshots = JobsSnapshotReader(configuration.active, catalog, views)
         views.listen(self._on_view)
 
-    # What operators ask.
+    # Requests of operators.
 
     async def submit(self, pool: str, specs: t.Sequence[JobSpec]) -> int:
-        """Take jobs in; return how many were new.
+        """Submit jobs and return how many of them were new.
 
-        :raises NotHolderError: the pool is held elsewhere.
-        :raises ConflictError: a job of the same id but other content exists.
+        :raises NotHolderError: another daemon holds the pool.
+        :raises ConflictError: a job with the same id but different content exists.
         """
         self._check_specs(pool, specs)
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
-            steps = self._submitted_steps(pool, jobs, specs)
-            await self._table.commit_or_raise(pool, jobs, steps)
-        return len(steps)
+            jobs = await self._table.get_or_load(pool)
+            updates = self._submission_updates(pool, jobs, specs)
+            await self._table.commit_or_raise(pool, jobs, updates)
+        return len(updates)
 
     def _check_specs(self, pool: str, specs: t.Sequence[JobSpec]) -> None:
         if self._configuration.active.spec(pool_key(pool), PoolSpec) is None:
@@ -99,54 +103,56 @@
         for spec in specs:
             if spec.pool != pool:
                 raise BadInputError(
-                    f"job {spec.job_id!r} names another pool",
+                    f"job {spec.job_id!r} belongs to a different pool",
                     remedy="submit the jobs of one pool at a time",
                     location=f"job/{spec.job_id}",
                 )
 
-    def _submitted_steps(
+    def _submission_updates(
         self, pool: str, jobs: PoolJobs, specs: t.Sequence[JobSpec]
-    ) -> list[JobStep]:
-        """Return the rows of the new jobs; those that are known stay as they are."""
-        steps: list[JobStep] = []
+    ) -> list[JobUpdate]:
+        """Return the updates that add new jobs. Known jobs remain unchanged."""
+        updates: list[JobUpdate] = []
         submitted_ms = self._recorder.clock.now().physical_ms
         for spec in specs:
             known = jobs.jobs.get(spec.job_id)
             if known is None:
                 job = Job(spec, submitted_ms=submitted_ms)
-                steps.append(JobStep(job, "submitted"))
+                updates.append(JobUpdate(job, "submitted"))
             elif known.job.spec != spec:
                 raise ConflictError(
-                    f"job {spec.job_id!r} exists with other content",
+                    f"job {spec.job_id!r} already exists with different content",
                     remedy="choose another job_id",
                     location=f"job/{pool}/{spec.job_id}",
                 )
-        return steps
+        return updates
 
     async def cancel(self, pool: str, job_ids: t.Sequence[str]) -> int:
-        """Cancel jobs in batches; return how many had not ended. Idempotent."""
+        """Cancel jobs in batches and return how many had not ended. Idempotent."""
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
-            steps = [
-                JobStep(attrs.evolve(stored.job, state=JobState.CANCELLED), "cancelled")
+            jobs = await self._table.get_or_load(pool)
+            updates = [
+                JobUpdate(
+                    attrs.evolve(stored.job, state=JobState.CANCELLED), "cancelled"
+                )
                 for job_id in job_ids
                 if (stored := jobs.jobs.get(job_id)) and not stored.job.ended
             ]
-            await self._table.commit_or_raise(pool, jobs, steps)
-        return len(steps)
+            await self._table.commit_or_raise(pool, jobs, updates)
+        return len(updates)
 
     async def list_jobs(self, pool: str) -> list[Job]:
-        """Return the jobs of a pool that is held here."""
+        """Return the jobs of a pool that this daemon holds."""
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
+            jobs = await self._table.get_or_load(pool)
         return [stored.job for stored in jobs.jobs.values()]
 
     def is_busy(self, instance_id: str) -> bool:
-        """Whether an attempt may run on an instance of a pool held here."""
+        """Return whether an attempt may run on an instance of a pool held here."""
         jobs = self._table.get(self._views.pool_of(instance_id))
         if jobs is None:
             return False
-        return jobs.on_worker[instance_id] > 0 or bool(jobs.stops)
+        return jobs.attempts_on_worker[instance_id] > 0 or bool(jobs.pending_stops)
 
     # The loop.
 
@@ -157,44 +163,44 @@
             await self.sleep(self._settings.tick_s)
 
     async def tick(self) -> None:
-        """Follow the tasks and decide about every pool held here, once."""
+        """Process the task reports, then decide once about each pool held here."""
         try:
             tasks = await self._attempts.changes()
         except StoreUnavailableError as error:
-            self.log.info("tasks not followed: %s", error)
+            self.log.info("task reports not read: %s", error)
             return
         for pool in self._held_pools():
             try:
                 if tasks or self._has_work(pool):
                     await self._decide(pool, tasks)
             except (NotHolderError, StoreUnavailableError) as error:
-                self.log.info("jobs of %s not decided: %s", pool, error)
+                self.log.info("no decision about the jobs of pool %s: %s", pool, error)
 
     def _held_pools(self) -> frozenset[str]:
         held = self._held.names()
-        self._table.forget_all_but(held)
+        self._table.unload_all_but(held)
         return held
 
     def _has_work(self, pool: str) -> bool:
-        """Whether a held pool is not loaded, or something waits in it."""
+        """Return whether a pool has to be loaded or has pending work."""
         jobs = self._table.loaded(pool)
         if jobs is None:
             return True
-        waiting = bool(jobs.unconfirmed or jobs.stops or jobs.reported)
+        waiting = bool(jobs.unconfirmed or jobs.pending_stops or jobs.pending_reports)
         return waiting or self._may_decide(jobs)
 
     async def _decide(self, pool: str, tasks: t.Sequence[Task]) -> None:
         async with self._table.lock(pool):
-            jobs = await self._table.current(pool)
-            # Reports come once: they are kept until what follows is committed.
-            jobs.reported.extend(tasks)
-            jobs.note_running(jobs.reported)
-            steps = ended_steps(jobs, jobs.reported)
-            await self._table.commit(pool, jobs, steps)
-            jobs.reported.clear()
+            jobs = await self._table.get_or_load(pool)
+            # Each report arrives only once. Keep it until its updates are committed.
+            jobs.pending_reports.extend(tasks)
+            jobs.stop_superseded(jobs.pending_reports)
+            updates = updates_after_end(jobs, jobs.pending_reports)
+            await self._table.commit(pool, jobs, updates)
+            jobs.pending_reports.clear()
             if self._table.is_current(pool, jobs) and self._is_due(jobs):
-                steps = decide_jobs(self._snapshots.read(pool, jobs))
-                await self._table.commit(pool, jobs, steps)
+                updates = decide_jobs(self._snapshots.read(pool, jobs))
+                await self._table.commit(pool, jobs, updates)
         await self._stop_attempts(jobs)
         await self._start_attempts(pool, jobs)
 
@@ -219,27 +225,28 @@
         try:
             await self._attempts.stop_all(jobs)
         except StoreUnavailableError as error:
-            self.log.info("stops asked again later: %s", error)
+            self.log.info("stops not confirmed, sending them again later: %s", error)
 
     async def _start_attempts(self, pool: str, jobs: PoolJobs) -> None:
         async def on_refused(job: Job, cause: str, may_run: bool) -> None:
-            await self._take_back(pool, jobs, job, cause, may_run)
+            await self._requeue_or_park(pool, jobs, job, cause, may_run)
 
         await self._attempts.start_all(jobs, on_refused)
 
-    async def _take_back(
+    async def _requeue_or_park(
         self, pool: str, jobs: PoolJobs, job: Job, cause: str, may_run: bool
     ) -> None:
-        """Queue again what was refused; park it where it might run twice.
+        """Queue a refused job again, or park it if it might then run twice.
 
-        :param may_run: whether an earlier try may run, which is stopped then.
+        :param may_run: whether an earlier start call may have started the attempt. It
+            is stopped in that case.
         """
-        once = may_run and not job.spec.repeat_safe
-        state = JobState.PARKED if once else JobState.QUEUED
+        unsafe_to_repeat = may_run and not job.spec.repeat_safe
+        state = JobState.PARKED if unsafe_to_repeat else JobState.QUEUED
         async with self._table.lock(pool):
             stored = jobs.jobs[job.spec.job_id]
             if stored.job == job and self._table.is_current(pool, jobs):
                 after = attrs.evolve(job, state=state, reason=cause)
-                await self._table.commit(pool, jobs, [JobStep(after, cause)])
+                await self._table.commit(pool, jobs, [JobUpdate(after, cause)])
                 if not may_run:
-                    jobs.stops.pop((job.spec.job_id, job.attempt), None)
+                    jobs.pending_stops.pop((job.spec.job_id, job.attempt), None)
--- a/src/streamthread/jobs/snapshots.py
+++ b/src/streamthread/jobs/snapshots.py
@@ -1,4 +1,4 @@
-"""Reads together what a decision about the jobs of one pool depends on."""
+"""Collects the inputs of a decision about the jobs of one pool."""
 
 import typing as t
 
@@ -18,7 +18,7 @@
 
 
 class JobsSnapshotReader:
-    """Makes snapshots from the catalog, the views and the configuration."""
+    """Creates snapshots from the catalog, the views and the configuration."""
 
     def __init__(
         self, active: ActiveConfiguration, catalog: Catalog, views: PoolViews
@@ -44,7 +44,7 @@
     def _workers(self, pool: str, jobs: PoolJobs) -> t.Iterator[WorkerFacts]:
         view = self._views.view(pool)
         states = view.states if view else {}
-        refused = self._quarantined(states, jobs)
+        quarantined = self._quarantined(states, jobs)
         for instance_id, state in states.items():
             instance = self._catalog.instances.get(instance_id)
             if instance is None or not instance.cores:
@@ -56,7 +56,7 @@
                 instance.cores,
                 instance.memory_bytes,
                 instance.accelerators,
-                open=serving and live and instance_id not in refused,
+                open=serving and live and instance_id not in quarantined,
                 leaving=state is MemberState.DRAINING,
                 labels=self._catalog.labels(instance_id),
             )
@@ -64,15 +64,15 @@
     def _quarantined(
         self, instance_ids: t.Collection[str], jobs: PoolJobs
     ) -> t.Container[str]:
-        """Return who is in quarantine; a reboot ends it."""
+        """Return the quarantined workers. A reboot ends a quarantine."""
         for instance_id in instance_ids:
             if instance_id in self._catalog.instances:
                 boot = self._catalog.instances[instance_id].boot
-                jobs.quarantine.note_boot(instance_id, boot)
+                jobs.quarantine.record_boot(instance_id, boot)
         return jobs.quarantine.members(list(instance_ids))
 
 
 def _in_order_of_submission(jobs: PoolJobs) -> tuple[Job, ...]:
-    current = [jobs.jobs[job_id].job for job_id in jobs.current]
+    current = [jobs.jobs[job_id].job for job_id in jobs.unfinished]
     current.sort(key=lambda job: (job.submitted_ms, job.spec.job_id))
     return tuple(current)
--- a/src/streamthread/jobs/table.py
+++ b/src/streamthread/jobs/table.py
@@ -1,4 +1,4 @@
-"""The jobs of the pools held here: loaded, kept in memory, committed in steps."""
+"""Loads the jobs of pools held by this daemon and commits updates to them."""
 
 import asyncio
 import typing as t
@@ -21,7 +21,7 @@
 from ..providers import Write
 from ..timeline import Recorder
 from .attempts import AttemptCalls
-from .decide import JobStep
+from .decide import JobUpdate
 from .pool_jobs import PoolJobs
 from .rows import Job
 from .rows import job_key
@@ -33,12 +33,14 @@
 
 
 class JobTable:
-    """Loads pools' jobs at take-over, and commits steps of them.
+    """Loads a pool's jobs when this daemon becomes its holder and commits updates.
 
-    A commit carries the epoch and the rows' versions. One that is refused or
-    unknown makes the pool's jobs be read again before anything else.
+    A commit carries the epoch and the versions of the rows. If a commit is refused or
+    its outcome is unknown, the pool's jobs are read again before anything else. The
+    exception is a conflict on the pool's row alone.
 
-    :param throttled_pause_s: the pause after a commit that the store throttled.
+    :param throttled_pause_s: the pause before a commit that the store throttled is
+        retried.
     """
 
     def __init__(
@@ -60,26 +62,26 @@
         self._locks: dict[str, asyncio.Lock] = {}
 
     def lock(self, pool: str) -> asyncio.Lock:
-        """Return the lock to hold while a pool's jobs are loaded or committed."""
+        """Return the lock to hold while loading or committing a pool's jobs."""
         return self._locks.setdefault(pool, asyncio.Lock())
 
     def get(self, pool: str) -> PoolJobs | None:
-        """Return a pool's jobs where they are loaded, under whatever epoch."""
+        """Return a pool's jobs if they are loaded, under any epoch."""
         return self._pools.get(pool)
 
     def is_current(self, pool: str, jobs: PoolJobs) -> bool:
-        """Whether these are still the pool's jobs: no commit failed since."""
+        """Return whether the jobs are still loaded, so no commit has failed since."""
         return self._pools.get(pool) is jobs
 
-    def forget_all_but(self, held: t.AbstractSet[str]) -> None:
-        """Forget the pools that are not held here."""
+    def unload_all_but(self, held: t.AbstractSet[str]) -> None:
+        """Unload the pools that this daemon does not hold."""
         for name in self._pools.keys() - held:
             del self._pools[name]
 
     # Loading.
 
     def loaded(self, pool: str) -> PoolJobs | None:
-        """Return a pool's jobs where they were loaded under the present epoch.
+        """Return a pool's jobs if they were loaded under the current epoch.
 
         :raises NotHolderError: the pool's shard is not held here.
         """
@@ -88,11 +90,11 @@
             return None
         return jobs
 
-    async def current(self, pool: str) -> PoolJobs:
-        """Return a pool's jobs, reading them where they are not loaded.
+    async def get_or_load(self, pool: str) -> PoolJobs:
+        """Return a pool's jobs and load them first if necessary.
 
         :raises NotHolderError: the pool's shard is not held here.
-        :raises StoreUnavailableError: they could not be read.
+        :raises StoreUnavailableError: the jobs could not be read.
         """
         fence = self._leases.fence(pool_key(pool))
         jobs = self._pools.get(pool)
@@ -105,42 +107,43 @@
         for row in await self._tables.scan_all(f"job/{pool}/"):
             _restore(jobs, row)
         await self._attempts.read_reports(jobs)
-        # Reports come once: those of older attempts came before the jobs were known.
-        jobs.note_running(self._attempts.running())
+        # Each report arrives only once, and those of older attempts may have arrived
+        # before the jobs were loaded.
+        jobs.stop_superseded(self._attempts.running())
         self._pools[pool] = jobs
         return jobs
 
     # Commits.
 
     async def commit_or_raise(
-        self, pool: str, jobs: PoolJobs, steps: t.Sequence[JobStep]
+        self, pool: str, jobs: PoolJobs, updates: t.Sequence[JobUpdate]
     ) -> None:
-        """Commit what an operator asked for.
+        """Commit the updates of an operator's request.
 
-        :raises NotHolderError: a row was changed by another holder.
-        :raises OutcomeUnknownError: the answer was lost.
+        :raises NotHolderError: another holder changed a row.
+        :raises OutcomeUnknownError: the answer of the store was lost.
         """
-        outcome = await self.commit(pool, jobs, steps)
+        outcome = await self.commit(pool, jobs, updates)
         if outcome is CommitOutcome.CONFLICTED:
             raise NotHolderError(
-                f"pool {pool!r} is held elsewhere by now",
+                f"pool {pool!r} is now held by another daemon",
                 remedy="send it again",
                 location=pool_key(pool),
             )
         if outcome is CommitOutcome.UNKNOWN:
             raise OutcomeUnknownError(
-                "the answer of the store was lost",
-                remedy="send the same jobs again: the same job_id is the same job",
+                "the store did not confirm the commit; its outcome is unknown",
+                remedy="send the same request again; a job_id is submitted only once",
                 location=pool_key(pool),
             )
 
     async def commit(
-        self, pool: str, jobs: PoolJobs, steps: t.Sequence[JobStep]
+        self, pool: str, jobs: PoolJobs, updates: t.Sequence[JobUpdate]
     ) -> CommitOutcome:
-        """Commit steps in batches, up to the first that is not committed."""
-        for start in range(0, len(steps), MAX_ROWS_PER_TRANSACTION):
-            batch = steps[start : start + MAX_ROWS_PER_TRANSACTION]
-            writes = tuple(_write(pool, jobs, step) for step in batch)
+        """Commit updates in batches up to the first batch that is not committed."""
+        for start in range(0, len(updates), MAX_ROWS_PER_TRANSACTION):
+            batch = updates[start : start + MAX_ROWS_PER_TRANSACTION]
+            writes = tuple(_write(pool, jobs, update) for update in batch)
             transaction = Transaction(writes, self._fences(pool, jobs, batch))
             result = await self._send(transaction)
             if result.conflicting_keys == (pool_key(pool),):
@@ -148,19 +151,20 @@
             if not result.committed:
                 self._pools.pop(pool, None)
                 return result.outcome
-            for step in batch:
-                self._keep(pool, jobs, step)
+            for update in batch:
+                self._apply(pool, jobs, update)
         return CommitOutcome.COMMITTED
 
     def _fences(
-        self, pool: str, jobs: PoolJobs, steps: t.Iterable[JobStep]
+        self, pool: str, jobs: PoolJobs, updates: t.Iterable[JobUpdate]
     ) -> tuple[Fence, ...]:
-        """The shard's epoch; for starts also the pool's row as it was decided on.
+        """Return the fences of a commit: the epoch, and for starts the pool's row.
 
-        So no job starts on a worker that is granted away at the same time.
+        The version of the pool's row keeps a job from starting on a worker that is
+        granted to a wave, a hold or another pool at the same time.
         """
         view = self._views.view(pool)
-        starts = any(step.job.state is JobState.STARTED for step in steps)
+        starts = any(update.job.state is JobState.STARTED for update in updates)
         if not starts or view is None:
             return (jobs.fence,)
         return jobs.fence, Fence(pool_key(pool), view.version)
@@ -172,32 +176,32 @@
             except StoreThrottledError:
                 await asyncio.sleep(self._throttled_pause_s)
 
-    def _keep(self, pool: str, jobs: PoolJobs, step: JobStep) -> None:
-        job = step.job
+    def _apply(self, pool: str, jobs: PoolJobs, update: JobUpdate) -> None:
+        job = update.job
         job_id = job.spec.job_id
         jobs.replace(job, jobs.version_of(job_id) + 1)
         self._recorder.record(
             AREA,
             f"job-{job.state.value}",
             f"job/{pool}/{job_id}",
-            f"attempt {job.attempt} on {job.worker_id or 'no worker'}: {step.cause}",
+            f"attempt {job.attempt} on {job.worker_id or 'no worker'}: {update.cause}",
             epoch=jobs.fence.version,
         )
 
 
 def _restore(jobs: PoolJobs, row: Row) -> None:
-    """Keep a job as an earlier holder left it; its last attempt may still run."""
+    """Load a job from its row. The latest attempt may still run on a worker."""
     job = cattrs.structure(row.value, Job)
     job_id = job.spec.job_id
-    jobs.keep(job, row.version)
+    jobs.put(job, row.version)
     if job.state is JobState.STARTED:
         jobs.unconfirmed.add(job_id)
-        jobs.unanswered.add(job_id)
+        jobs.outcome_unknown.add(job_id)
     elif job.attempt and job.state is not JobState.DONE:
-        jobs.stops[(job_id, job.attempt)] = False
+        jobs.pending_stops[(job_id, job.attempt)] = False
 
 
-def _write(pool: str, jobs: PoolJobs, step: JobStep) -> Write:
-    job_id = step.job.spec.job_id
-    value = cattrs.unstructure(step.job)
+def _write(pool: str, jobs: PoolJobs, update: JobUpdate) -> Write:
+    job_id = update.job.spec.job_id
+    value = cattrs.unstructure(update.job)
     return Write(job_key(pool, job_id), value, jobs.version_of(job_id))
