--- a/src/streamthread/fleet/snapshots.py
+++ b/src/streamthread/fleet/snapshots.py
@@ -6,8 +6,8 @@
 from ..configuration import ItemKind
 from ..configuration import PoolSpec
 from ..configuration import WaveSpec
-from ..maintenance import due_share
 from ..maintenance import InstanceFacts
+from ..maintenance import is_reboot_due
 from ..maintenance import PoolSnapshot
 from ..maintenance import run_key
 from ..maintenance import WaveFacts
@@ -92,7 +92,7 @@
             idle=self._progress.is_idle(instance_id),
             wanted_by=tuple(self._wanted_by(instance_id)),
             better_pool=better,
-            better_pool_room=self._room(better),
+            better_pool_vacancies=self._room(better),
             matches_pool=matches,
             overdue=self._progress.is_overdue(instance_id),
         )
@@ -133,7 +133,7 @@
         for key in sorted(self._catalog.matched_by(instance_id)):
             wave = self._active.spec(key, WaveSpec)
             if wave is not None:
-                if due_share(instance_id, wave.period_days, now):
+                if is_reboot_due(instance_id, wave.period_days, now):
                     yield run_key(key, wave.period_days, now)
             elif not key.startswith(POOL_PREFIX):
                 yield key
--- a/src/streamthread/maintenance/__init__.py
+++ b/src/streamthread/maintenance/__init__.py
@@ -8,7 +8,7 @@
 from .decide import Step
 from .decide import StepKind
 from .decide import WaveFacts
-from .standing import due_share
+from .standing import is_reboot_due
 from .standing import run_key
 from .waves import GROWTH
 from .waves import wave_limit
@@ -24,7 +24,7 @@
     "WaveFacts",
     "WaveProgress",
     "decide_pool",
-    "due_share",
+    "is_reboot_due",
     "measure_budget",
     "run_key",
     "wave_limit",
--- a/src/streamthread/maintenance/decide.py
+++ b/src/streamthread/maintenance/decide.py
@@ -58,7 +58,7 @@
     idle: bool = False
     wanted_by: tuple[str, ...] = ()
     better_pool: str = ""
-    better_pool_room: int = 0
+    better_pool_vacancies: int = 0
     matches_pool: bool = True
     overdue: bool = False
 
@@ -230,7 +230,7 @@
     def allows(self, purpose: str, facts: InstanceFacts) -> bool:
         if purpose.startswith(MOVE_PREFIX) and facts.matches_pool:
             moving = self._moving.get(purpose, 0)
-            return moving < facts.better_pool_room
+            return moving < facts.better_pool_vacancies
         if not purpose.startswith(WAVE_PREFIX):
             return True
         return self._halls.allows(facts.hall) and self._left.get(purpose, 0) > 0
--- a/src/streamthread/maintenance/standing.py
+++ b/src/streamthread/maintenance/standing.py
@@ -3,7 +3,7 @@
 import datetime
 import hashlib
 
-__all__ = ["due_share", "run_key"]
+__all__ = ["is_reboot_due", "run_key"]
 
 EPOCH = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
 """Periods are counted from here, so that all entries count alike."""
@@ -22,7 +22,7 @@
     return f"{key}@{number}"
 
 
-def due_share(instance_id: str, period_days: float, now: datetime.datetime) -> bool:
+def is_reboot_due(instance_id: str, period_days: float, now: datetime.datetime) -> bool:
     """Whether an instance's turn in the present period has come.
 
     Turns are spread over nine tenths of the period by the instance's name, which
--- a/src/streamthread/maintenance/tests/test_standing.py
+++ b/src/streamthread/maintenance/tests/test_standing.py
@@ -6,7 +6,7 @@
 
 from tools.world import World
 
-from streamthread.maintenance import due_share
+from streamthread.maintenance import is_reboot_due
 from streamthread.maintenance import run_key
 from streamthread.maintenance.standing import EPOCH
 from streamthread.providers import Instance
@@ -22,7 +22,7 @@
 class TestTurns:
     def test_each_instance_has_one_turn_spread_over_the_period(self) -> None:
         due = [
-            sum(due_share(name, PERIOD_DAYS, _at(day)) for name in NAMES)
+            sum(is_reboot_due(name, PERIOD_DAYS, _at(day)) for name in NAMES)
             for day in range(21)
         ]
         assert due == sorted(due)
