--- a/src/streamthread/maintenance/decide.py
+++ b/src/streamthread/maintenance/decide.py
@@ -1,7 +1,8 @@
-"""The decision about one pool: who leaves, reboots, returns, moves or joins.
+"""Decides which instances of a pool drain, reboot, return, move, leave or join.
 
-A pure function from a snapshot to steps. Each step replaces one member of the
-pool's row; the service around it commits them, fenced by the shard's epoch.
+:func:`decide_pool` is a pure function from a snapshot to steps. Each step replaces
+one member of the pool's row. The fleet service commits the steps, fenced by the
+shard's epoch.
 """
 
 import collections
@@ -30,7 +31,7 @@
 
 
 class StepKind:
-    """Names of the steps, as the time line shows them."""
+    """The kinds of steps, under the names that the timeline shows."""
 
     DRAIN = "drain-granted"
     REBOOT = "reboot-started"
@@ -43,12 +44,13 @@
 
 @attrs.frozen
 class InstanceFacts:
-    """What is known of one instance now.
+    """The current state of one instance.
 
-    :param idle: whether nothing runs on it any more, as confirmed by all.
-    :param wanted_by: the waves and holds that select it, holds first.
-    :param better_pool: where it should move, and how many fit in there.
-    :param overdue: whether its reboot has taken too long.
+    :param idle: whether all daemons have confirmed that nothing runs on it any more.
+    :param wanted_by: the keys of the holds and waves that select it, holds first.
+    :param better_pool: the pool that it should move to; empty if there is none.
+    :param better_pool_vacancies: how many more instances that pool takes.
+    :param overdue: whether its reboot has exceeded the time limit.
     """
 
     live: bool
@@ -65,7 +67,7 @@
 
 @attrs.frozen
 class WaveFacts:
-    """The state of a wave, from its configuration."""
+    """The configured state of a wave."""
 
     paused: bool = False
     max_failed_fraction: float = 0.1
@@ -73,11 +75,11 @@
 
 @attrs.frozen
 class PoolSnapshot:
-    """Everything that a decision about a pool depends on.
+    """All inputs of the decision about one pool.
 
-    :param target: how many it wants; None takes all.
-    :param candidates: instances in no pool that this pool may take, best first.
-    :param fresh: whether the membership list was read lately.
+    :param target: how many live members the pool should have; None for no limit.
+    :param candidates: instances in no pool that this pool may add, best first.
+    :param fresh: whether the membership list was read recently.
     """
 
     name: str
@@ -92,10 +94,10 @@
 
 @attrs.frozen
 class Step:
-    """One member replaced, and why.
+    """The replacement of one member, with its cause.
 
-    :param member: the new member, or None where it leaves the pool.
-    :param move_to: the pool that takes a member that leaves, if any.
+    :param member: the new member, or None if the instance leaves the pool.
+    :param move_to: the pool that an instance moves to when it leaves, if any.
     """
 
     kind: str
@@ -106,47 +108,49 @@
 
 
 def decide_pool(snapshot: PoolSnapshot) -> list[Step]:
-    """Return the steps to take now, in order."""
-    steps = list(_advance(snapshot))
-    steps.extend(_grants(snapshot))
-    steps.extend(_joins(snapshot))
+    """Return the steps to commit now, in order."""
+    steps = list(_advance_members(snapshot))
+    steps.extend(_grant_drains(snapshot))
+    steps.extend(_join_candidates(snapshot))
     return steps
 
 
-def _advance(snapshot: PoolSnapshot) -> t.Iterator[Step]:
+def _advance_members(snapshot: PoolSnapshot) -> t.Iterator[Step]:
     for instance_id, member in sorted(snapshot.row.members.items()):
         facts = snapshot.facts.get(instance_id)
         if facts is None or member.state is MemberState.SERVING:
             continue
-        step = _advance_one(instance_id, member, facts, snapshot)
+        step = _advance_member(instance_id, member, facts, snapshot)
         if step is not None:
             yield step
 
 
-def _advance_one(
+def _advance_member(
     instance_id: str, member: Member, facts: InstanceFacts, snapshot: PoolSnapshot
 ) -> Step | None:
     if member.state is MemberState.REBOOTING:
-        return _advance_rebooting(instance_id, member, facts, snapshot)
-    if not _still_wanted(member, facts, snapshot):
-        back = Member(boot=facts.boot, done=member.done)
-        return Step(StepKind.RETURN, instance_id, back, "no longer asked to leave")
+        return _complete_reboot(instance_id, member, facts, snapshot)
+    if not _purpose_still_applies(member, facts, snapshot):
+        returned = Member(boot=facts.boot, done=member.done)
+        return Step(StepKind.RETURN, instance_id, returned, "no longer asked to leave")
     if member.state is MemberState.DRAINING and facts.idle:
-        return _leave(instance_id, member)
+        return _step_when_idle(instance_id, member)
     return None
 
 
-def _advance_rebooting(
+def _complete_reboot(
     instance_id: str, member: Member, facts: InstanceFacts, snapshot: PoolSnapshot
 ) -> Step | None:
     if not facts.live or facts.boot <= member.boot:
         return None
-    still_there = tuple(key for key in member.done if key in snapshot.waves)
-    back = Member(boot=facts.boot, done=(*still_there, member.purpose))
-    return Step(StepKind.RETURN, instance_id, back, f"{member.purpose} is done")
+    known_waves = tuple(key for key in member.done if key in snapshot.waves)
+    returned = Member(boot=facts.boot, done=(*known_waves, member.purpose))
+    return Step(StepKind.RETURN, instance_id, returned, f"{member.purpose} is done")
 
 
-def _still_wanted(member: Member, facts: InstanceFacts, snapshot: PoolSnapshot) -> bool:
+def _purpose_still_applies(
+    member: Member, facts: InstanceFacts, snapshot: PoolSnapshot
+) -> bool:
     if member.purpose == MOVE_PREFIX:
         return not facts.matches_pool and not facts.better_pool
     if member.purpose.startswith(MOVE_PREFIX):
@@ -154,10 +158,12 @@
     return member.purpose in facts.wanted_by
 
 
-def _leave(instance_id: str, member: Member) -> Step:
+def _step_when_idle(instance_id: str, member: Member) -> Step:
     if member.purpose.startswith(WAVE_PREFIX):
-        away = attrs.evolve(member, state=MemberState.REBOOTING)
-        return Step(StepKind.REBOOT, instance_id, away, f"idle, for {member.purpose}")
+        rebooting = attrs.evolve(member, state=MemberState.REBOOTING)
+        return Step(
+            StepKind.REBOOT, instance_id, rebooting, f"idle, for {member.purpose}"
+        )
     if member.purpose.startswith(MOVE_PREFIX):
         target = member.purpose.removeprefix(MOVE_PREFIX)
         kind = StepKind.MOVE if target else StepKind.LEAVE
@@ -167,29 +173,29 @@
     return Step(StepKind.HOLD, instance_id, held, f"idle, for {member.purpose}")
 
 
-def _grants(snapshot: PoolSnapshot) -> t.Iterator[Step]:
+def _grant_drains(snapshot: PoolSnapshot) -> t.Iterator[Step]:
     live = {key for key, facts in snapshot.facts.items() if facts.live}
     budget = measure_budget(snapshot.row, live, snapshot.fresh, snapshot.min_available)
-    left = budget.grants_left
+    grants_left = budget.grants_left
     quota = _WaveQuota(snapshot)
-    for instance_id in _in_grant_order(snapshot):
+    for instance_id in _sort_for_grants(snapshot):
         facts = snapshot.facts[instance_id]
         member = snapshot.row.members[instance_id]
-        purpose = _purpose(member, facts, snapshot)
+        purpose = _choose_purpose(member, facts, snapshot)
         if not purpose or not snapshot.fresh:
             continue
-        costs = 1 if facts.live else 0
-        if costs > left or not quota.allows(purpose, facts):
+        cost = 1 if facts.live else 0
+        if cost > grants_left or not quota.allows(purpose, facts):
             continue
-        left -= costs
-        quota.take(purpose, facts)
-        away = Member(MemberState.DRAINING, purpose, facts.boot, member.done)
+        grants_left -= cost
+        quota.consume(purpose, facts)
+        draining = Member(MemberState.DRAINING, purpose, facts.boot, member.done)
         cause = f"{purpose}, {budget.available} available of {budget.min_available}"
-        yield Step(StepKind.DRAIN, instance_id, away, cause)
+        yield Step(StepKind.DRAIN, instance_id, draining, cause)
 
 
-def _in_grant_order(snapshot: PoolSnapshot) -> list[str]:
-    """Serving members: those that are down first, then hall by hall."""
+def _sort_for_grants(snapshot: PoolSnapshot) -> list[str]:
+    """Return the serving members: those that are not live first, then by hall."""
     serving = [
         instance_id
         for instance_id, member in snapshot.row.members.items()
@@ -203,7 +209,9 @@
     return sorted(serving, key=order)
 
 
-def _purpose(member: Member, facts: InstanceFacts, snapshot: PoolSnapshot) -> str:
+def _choose_purpose(
+    member: Member, facts: InstanceFacts, snapshot: PoolSnapshot
+) -> str:
     for key in facts.wanted_by:
         if not key.startswith(WAVE_PREFIX):
             return key
@@ -216,63 +224,72 @@
 
 
 class _WaveQuota:
-    """Canary, growth, halting, halls; and no more moves than fit."""
+    """Limits how many members may drain for each purpose.
+
+    A wave is limited by :func:`wave_limit` (canary, growth and halting) and by the
+    halls that it may empty. Moves to a better pool are limited to its vacancies.
+    Holds, and moves of instances that no longer match this pool, are not limited.
+    """
 
     def __init__(self, snapshot: PoolSnapshot) -> None:
-        self._left: dict[str, int] = {}
-        self._moving = _moving(snapshot)
-        self._halls = _Halls(snapshot)
+        self._remaining: dict[str, int] = {}
+        self._moves = _count_moves_by_purpose(snapshot)
+        self._hall_limit = _HallLimit(snapshot)
         for key, wave in snapshot.waves.items():
-            progress = _progress(key, snapshot)
+            progress = _wave_progress(key, snapshot)
             limit = wave_limit(progress, wave.max_failed_fraction)
-            self._left[key] = limit - progress.away
+            self._remaining[key] = limit - progress.in_progress
 
     def allows(self, purpose: str, facts: InstanceFacts) -> bool:
         if purpose.startswith(MOVE_PREFIX) and facts.matches_pool:
-            moving = self._moving.get(purpose, 0)
-            return moving < facts.better_pool_vacancies
+            moves = self._moves.get(purpose, 0)
+            return moves < facts.better_pool_vacancies
         if not purpose.startswith(WAVE_PREFIX):
             return True
-        return self._halls.allows(facts.hall) and self._left.get(purpose, 0) > 0
+        return (
+            self._hall_limit.allows(facts.hall) and self._remaining.get(purpose, 0) > 0
+        )
 
-    def take(self, purpose: str, facts: InstanceFacts) -> None:
+    def consume(self, purpose: str, facts: InstanceFacts) -> None:
         if purpose.startswith(MOVE_PREFIX):
-            self._moving[purpose] = self._moving.get(purpose, 0) + 1
+            self._moves[purpose] = self._moves.get(purpose, 0) + 1
         if purpose.startswith(WAVE_PREFIX):
-            self._halls.take(facts.hall)
-            self._left[purpose] -= 1
+            self._hall_limit.consume(facts.hall)
+            self._remaining[purpose] -= 1
 
 
-class _Halls:
-    """Keeps a wave from taking all of a pool's members in two halls at once."""
+class _HallLimit:
+    """Prevents waves from draining all members of a pool in two halls at once."""
 
     def __init__(self, snapshot: PoolSnapshot) -> None:
         self._members: collections.Counter[str] = collections.Counter()
-        self._away: collections.Counter[str] = collections.Counter()
+        self._drained: collections.Counter[str] = collections.Counter()
         for instance_id, member in snapshot.row.members.items():
             facts = snapshot.facts.get(instance_id)
             if facts is None:
                 continue
             self._members[facts.hall] += 1
             if member.purpose.startswith(WAVE_PREFIX):
-                self._away[facts.hall] += 1
+                self._drained[facts.hall] += 1
 
     def allows(self, hall: str) -> bool:
-        """Whether one more may go from a hall."""
-        emptied = {
-            name for name, count in self._away.items() if count >= self._members[name]
+        """Return whether one more member in a hall may drain."""
+        emptied_halls = {
+            name
+            for name, count in self._drained.items()
+            if count >= self._members[name]
         }
-        if self._away[hall] + 1 >= self._members[hall]:
-            emptied.add(hall)
-        return len(emptied) <= 1
+        if self._drained[hall] + 1 >= self._members[hall]:
+            emptied_halls.add(hall)
+        return len(emptied_halls) <= 1
 
-    def take(self, hall: str) -> None:
-        """Note that one more goes."""
-        self._away[hall] += 1
+    def consume(self, hall: str) -> None:
+        """Count one more member in a hall as draining."""
+        self._drained[hall] += 1
 
 
-def _moving(snapshot: PoolSnapshot) -> dict[str, int]:
-    """Count the members that are on their way out, by where to."""
+def _count_moves_by_purpose(snapshot: PoolSnapshot) -> dict[str, int]:
+    """Count the members that drain for a move, by purpose (``move/POOL``)."""
     counts: dict[str, int] = {}
     for member in snapshot.row.members.values():
         if member.purpose.startswith(MOVE_PREFIX):
@@ -280,26 +297,26 @@
     return counts
 
 
-def _progress(key: str, snapshot: PoolSnapshot) -> WaveProgress:
+def _wave_progress(key: str, snapshot: PoolSnapshot) -> WaveProgress:
     members = snapshot.row.members
-    away = [name for name, member in members.items() if member.purpose == key]
+    in_progress = [name for name, member in members.items() if member.purpose == key]
     failed = sum(
-        name in snapshot.facts and snapshot.facts[name].overdue for name in away
+        name in snapshot.facts and snapshot.facts[name].overdue for name in in_progress
     )
     done = sum(key in member.done for member in members.values())
-    return WaveProgress(done, len(away), failed)
+    return WaveProgress(done, len(in_progress), failed)
 
 
-def _joins(snapshot: PoolSnapshot) -> t.Iterator[Step]:
-    room = len(snapshot.candidates)
+def _join_candidates(snapshot: PoolSnapshot) -> t.Iterator[Step]:
+    max_joins = len(snapshot.candidates)
     if snapshot.target is not None:
-        present = sum(
+        live_members = sum(
             facts.live
             for name, facts in snapshot.facts.items()
             if name in snapshot.row.members
         )
-        room = max(0, snapshot.target - present)
-    for instance_id in snapshot.candidates[:room]:
+        max_joins = max(0, snapshot.target - live_members)
+    for instance_id in snapshot.candidates[:max_joins]:
         facts = snapshot.facts[instance_id]
         member = Member(boot=facts.boot)
         cause = f"matches {snapshot.name}'s selector"
