--- a/src/streamthread/maintenance/__init__.py
+++ b/src/streamthread/maintenance/__init__.py
@@ -1,4 +1,4 @@
-"""Maintenance: budgets, waves, and the decision about one pool."""
+"""Maintenance of pools: availability budgets, waves and the steps of each pool."""
 
 from .budgets import Budget
 from .budgets import measure_budget
@@ -8,8 +8,8 @@
 from .decide import Step
 from .decide import StepKind
 from .decide import WaveFacts
-from .standing import is_reboot_due
-from .standing import run_key
+from .periodic import is_reboot_due
+from .periodic import run_key
 from .waves import GROWTH
 from .waves import wave_limit
 from .waves import WaveProgress
--- a/src/streamthread/maintenance/budgets.py
+++ b/src/streamthread/maintenance/budgets.py
@@ -1,8 +1,8 @@
-"""Availability budgets: how many instances a pool may give away.
+"""Availability budgets: how many instances of a pool may be unavailable at once.
 
 The count is pessimistic. An instance is available only if its member row says
-that it serves and a fresh membership list says that it lives; whatever is
-granted, lost, leaving or not heard of counts as gone.
+that it is serving and a fresh membership list says that it is live. Instances that
+are granted for a drain, lost, leaving or unknown count as unavailable.
 """
 
 import typing as t
@@ -19,7 +19,8 @@
 class Budget:
     """A pool's availability at one moment.
 
-    :param available: the members that serve and live.
+    :param available: how many members are serving and live.
+    :param min_available: how many the pool's configuration requires.
     """
 
     available: int
@@ -27,12 +28,12 @@
 
     @property
     def grants_left(self) -> int:
-        """How many available instances may be given away now."""
+        """How many available instances may be drained now."""
         return max(0, self.available - self.min_available)
 
     @property
-    def broken(self) -> bool:
-        """Whether fewer are available than the budget asks."""
+    def violated(self) -> bool:
+        """Whether fewer instances are available than the budget requires."""
         return self.available < self.min_available
 
 
@@ -41,8 +42,9 @@
 ) -> Budget:
     """Return the budget of a pool.
 
-    :param live: the instances that the membership list shows as live.
-    :param fresh: whether that list was read lately; if not, none is available.
+    :param live: the IDs of the instances that the membership list shows as live.
+    :param fresh: whether that list was read recently; if not, no instance counts as
+        available.
     """
     available = sum(
         member.state is MemberState.SERVING and instance_id in live
--- a/src/streamthread/maintenance/tests/test_decide.py
+++ b/src/streamthread/maintenance/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""The decision about one pool: budgets, waves, halls."""
+"""The decision about one pool: budgets, wave limits and hall limits."""
 
 import attrs
 import hypothesis
@@ -54,7 +54,7 @@
     )
 
 
-def _after(snapshot: PoolSnapshot) -> PoolRow:
+def _row_after_steps(snapshot: PoolSnapshot) -> PoolRow:
     row = snapshot.row
     for step in decide_pool(snapshot):
         row = row.with_member(step.instance_id, step.member)
@@ -86,16 +86,17 @@
 
 class TestBudget:
     @hypothesis.given(snapshots())
-    def test_grants_never_leave_less_than_the_budget(
-        self, snapshot: PoolSnapshot
-    ) -> None:
+    def test_grants_keep_the_minimum_available(self, snapshot: PoolSnapshot) -> None:
         granted = [
             step
             for step in decide_pool(snapshot)
             if step.kind == StepKind.DRAIN and snapshot.facts[step.instance_id].live
         ]
         if granted:
-            assert _available(snapshot, _after(snapshot)) >= snapshot.min_available
+            assert (
+                _available(snapshot, _row_after_steps(snapshot))
+                >= snapshot.min_available
+            )
 
     @hypothesis.given(snapshots())
     def test_nothing_is_granted_on_a_stale_membership_list(
@@ -113,7 +114,7 @@
             if step.kind in (StepKind.REBOOT, StepKind.MOVE, StepKind.LEAVE):
                 assert snapshot.facts[step.instance_id].idle
 
-    def test_lost_instance_is_granted_although_nothing_is_left(self) -> None:
+    def test_lost_instance_is_granted_with_no_grants_left(self) -> None:
         snapshot = _pool(2, 2)
         lost = attrs.evolve(snapshot.facts["i1"], live=False)
         snapshot = attrs.evolve(snapshot, facts={**snapshot.facts, "i1": lost})
@@ -122,19 +123,22 @@
 
 
 class TestWave:
-    def test_begins_with_one_and_grows_with_each_that_came_back(self) -> None:
+    def test_starts_with_one_and_grows_with_each_completed(self) -> None:
         assert wave_limit(WaveProgress(0, 0, 0), 0.1) == 1
         assert wave_limit(WaveProgress(1, 0, 0), 0.1) == 1 + GROWTH
         assert wave_limit(WaveProgress(3, 0, 0), 0.1) == 1 + 3 * GROWTH
 
-    def test_halts_when_the_canary_does_not_come_back(self) -> None:
+    def test_halts_when_the_canary_fails(self) -> None:
         assert wave_limit(WaveProgress(0, 1, 1), 0.1) == 0
 
-    def test_goes_on_below_the_allowed_fraction(self) -> None:
+    def test_continues_below_the_allowed_failed_fraction(self) -> None:
         assert wave_limit(WaveProgress(20, 1, 1), 0.1) > 0
 
     def test_never_empties_two_halls_at_once(self) -> None:
-        """Two in each of two halls, all four allowed: three may go at most."""
+        """With two members in each of two halls, at most three may drain.
+
+        The budget and the wave limit would allow all four.
+        """
         halls = {"i0": "hann", "i1": "hann", "i2": "plateau", "i3": "plateau"}
         snapshot = _pool(4, 0)
         row = snapshot.row.with_member("i0", Member(MemberState.DRAINING, WAVE, 1))
@@ -148,20 +152,20 @@
         snapshot = attrs.evolve(snapshot, row=row, facts=facts)
         assert [step.instance_id for step in decide_pool(snapshot)] == ["i2"]
 
-    def test_waves_that_are_gone_are_forgotten(self) -> None:
-        away = Member(MemberState.REBOOTING, WAVE, 1, ("wave/old",))
+    def test_deleted_waves_are_removed_from_done(self) -> None:
+        rebooting = Member(MemberState.REBOOTING, WAVE, 1, ("wave/old",))
         snapshot = _pool(1, 0)
-        snapshot = attrs.evolve(snapshot, row=PoolRow({"i0": away}))
-        back = attrs.evolve(snapshot.facts["i0"], boot=2)
-        snapshot = attrs.evolve(snapshot, facts={"i0": back})
+        snapshot = attrs.evolve(snapshot, row=PoolRow({"i0": rebooting}))
+        rebooted = attrs.evolve(snapshot.facts["i0"], boot=2)
+        snapshot = attrs.evolve(snapshot, facts={"i0": rebooted})
         (step,) = decide_pool(snapshot)
         assert step.member is not None and step.member.done == (WAVE,)
 
-    def test_paused_wave_grants_nothing_and_ends_what_it_began(self) -> None:
-        away = Member(MemberState.REBOOTING, WAVE, 1)
+    def test_paused_wave_grants_nothing_and_completes_reboots(self) -> None:
+        rebooting = Member(MemberState.REBOOTING, WAVE, 1)
         snapshot = _pool(3, 0, waves={WAVE: WaveFacts(paused=True)})
-        snapshot = attrs.evolve(snapshot, row=snapshot.row.with_member("i0", away))
-        back = attrs.evolve(snapshot.facts["i0"], boot=2)
-        snapshot = attrs.evolve(snapshot, facts={**snapshot.facts, "i0": back})
+        snapshot = attrs.evolve(snapshot, row=snapshot.row.with_member("i0", rebooting))
+        rebooted = attrs.evolve(snapshot.facts["i0"], boot=2)
+        snapshot = attrs.evolve(snapshot, facts={**snapshot.facts, "i0": rebooted})
         (step,) = decide_pool(snapshot)
         assert (step.kind, step.instance_id) == (StepKind.RETURN, "i0")
--- a/src/streamthread/maintenance/tests/test_standing.py
+++ b/src/streamthread/maintenance/tests/test_periodic.py
@@ -1,4 +1,4 @@
-"""Standing waves: once a period, spread over it, yielding to bursts."""
+"""Periodic waves: once a period, spread over it, paused during bursts."""
 
 import datetime
 import itertools
@@ -8,7 +8,7 @@
 
 from streamthread.maintenance import is_reboot_due
 from streamthread.maintenance import run_key
-from streamthread.maintenance.standing import EPOCH
+from streamthread.maintenance.periodic import EPOCH
 from streamthread.providers import Instance
 
 PERIOD_DAYS = 21.0
@@ -19,8 +19,8 @@
     return EPOCH + datetime.timedelta(days=days)
 
 
-class TestTurns:
-    def test_each_instance_has_one_turn_spread_over_the_period(self) -> None:
+class TestSchedule:
+    def test_reboots_are_due_once_and_spread_over_the_period(self) -> None:
         due = [
             sum(is_reboot_due(name, PERIOD_DAYS, _at(day)) for name in NAMES)
             for day in range(21)
@@ -30,7 +30,7 @@
         daily = [after - before for before, after in itertools.pairwise(due)]
         assert max(daily) <= 1.3 * len(NAMES) / (0.9 * PERIOD_DAYS)
 
-    def test_next_period_is_another_run(self) -> None:
+    def test_each_period_has_its_own_run_key(self) -> None:
         assert run_key("wave/w", PERIOD_DAYS, _at(20.9)) == "wave/w@0"
         assert run_key("wave/w", PERIOD_DAYS, _at(21.1)) == "wave/w@1"
         assert run_key("wave/w", 0.0, _at(21.1)) == "wave/w"
@@ -64,7 +64,7 @@
     return [instance.boot for instance in world.membership.all()]
 
 
-class TestStandingWave:
+class TestPeriodicWave:
     async def test_reboots_every_instance_once_in_each_period(self) -> None:
         wall = WallClock()
         world = await _world(wall)
@@ -76,7 +76,7 @@
             if day % 21 == 20:
                 assert set(_boots(world)) == {2 + day // 21}
 
-    async def test_waits_while_the_pool_has_a_burst(self) -> None:
+    async def test_pauses_during_a_burst_of_the_pool(self) -> None:
         wall = WallClock()
         world = await _world(wall)
         burst = {
