--- a/src/streamthread/maintenance/__init__.py
+++ b/src/streamthread/maintenance/__init__.py
@@ -8,8 +8,8 @@
 from .decide import Step
 from .decide import StepKind
 from .decide import WaveFacts
-from .periodic import is_reboot_due
-from .periodic import run_key
+from .standing import is_reboot_due
+from .standing import run_key
 from .waves import GROWTH
 from .waves import wave_limit
 from .waves import WaveProgress
--- a/src/streamthread/maintenance/periodic.py
+++ b/src/streamthread/maintenance/standing.py
@@ -1,4 +1,4 @@
-"""Schedules periodic waves: each instance reboots once a period, spread over it."""
+"""Schedules standing waves: each instance reboots once a period, spread over it."""
 
 import datetime
 import hashlib
@@ -15,7 +15,7 @@
     """Return the key of a wave's current run.
 
     This is the wave's own key, or ``KEY@NUMBER`` with the number of the current
-    period if the wave is periodic.
+    period for a standing wave.
 
     :param period_days: 0 for a wave that runs once.
     """
--- a/src/streamthread/maintenance/tests/test_periodic.py
+++ b/src/streamthread/maintenance/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Periodic waves: once a period, spread over it, paused during bursts."""
+"""Standing waves: reboots once a period, spread over it, paused during bursts."""
 
 import datetime
 import itertools
@@ -8,7 +8,7 @@
 
 from streamthread.maintenance import is_reboot_due
 from streamthread.maintenance import run_key
-from streamthread.maintenance.periodic import EPOCH
+from streamthread.maintenance.standing import EPOCH
 from streamthread.providers import Instance
 
 PERIOD_DAYS = 21.0
@@ -64,7 +64,7 @@
     return [instance.boot for instance in world.membership.all()]
 
 
-class TestPeriodicWave:
+class TestStandingWave:
     async def test_reboots_every_instance_once_in_each_period(self) -> None:
         wall = WallClock()
         world = await _world(wall)
