--- a/src/streamthread/maintenance/tests/test_standing.py
+++ b/src/streamthread/maintenance/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Standing waves: once a period, spread over it, yielding to bursts."""
+"""Standing waves: reboots once a period, spread over it, paused during bursts."""
 
 import datetime
 import itertools
@@ -6,7 +6,7 @@
 
 from tools.world import World
 
-from streamthread.maintenance import due_share
+from streamthread.maintenance import is_reboot_due
 from streamthread.maintenance import run_key
 from streamthread.maintenance.standing import EPOCH
 from streamthread.providers import Instance
@@ -19,10 +19,10 @@
     return EPOCH + datetime.timedelta(days=days)
 
 
-class TestTurns:
-    def test_each_instance_has_one_turn_spread_over_the_period(self) -> None:
+class TestSchedule:
+    def test_reboots_are_due_once_and_spread_over_the_period(self) -> None:
         due = [
-            sum(due_share(name, PERIOD_DAYS, _at(day)) for name in NAMES)
+            sum(is_reboot_due(name, PERIOD_DAYS, _at(day)) for name in NAMES)
             for day in range(21)
         ]
         assert due == sorted(due)
@@ -30,7 +30,7 @@
         daily = [after - before for before, after in itertools.pairwise(due)]
         assert max(daily) <= 1.3 * len(NAMES) / (0.9 * PERIOD_DAYS)
 
-    def test_next_period_is_another_run(self) -> None:
+    def test_each_period_has_its_own_run_key(self) -> None:
         assert run_key("wave/w", PERIOD_DAYS, _at(20.9)) == "wave/w@0"
         assert run_key("wave/w", PERIOD_DAYS, _at(21.1)) == "wave/w@1"
         assert run_key("wave/w", 0.0, _at(21.1)) == "wave/w"
@@ -76,7 +76,7 @@
             if day % 21 == 20:
                 assert set(_boots(world)) == {2 + day // 21}
 
-    async def test_waits_while_the_pool_has_a_burst(self) -> None:
+    async def test_pauses_during_a_burst_of_the_pool(self) -> None:
         wall = WallClock()
         world = await _world(wall)
         burst = {
