--- a/src/streamthread/leases/committer.py
+++ b/src/streamthread/leases/committer.py
@@ -1,4 +1,4 @@
-"""Sends transactions, and settles the ones whose answer was lost."""
+"""Commits transactions and resolves the outcome when the reply was lost."""
 
 import asyncio
 import random
@@ -20,7 +20,10 @@
 
 @attrs.define
 class Backoff:
-    """Waits with full jitter, doubling up to a limit."""
+    """Exponential backoff: the ceiling doubles up to a limit.
+
+    Each delay is drawn at random from the upper half of the current ceiling.
+    """
 
     base_s: float = 0.05
     limit_s: float = 5.0
@@ -28,21 +31,22 @@
     _attempt: int = 0
 
     def next_s(self) -> float:
-        """Return how long to wait before the next try."""
+        """Return the delay before the next attempt."""
         ceiling_s = min(self.limit_s, self.base_s * 2**self._attempt)
         self._attempt = min(self._attempt + 1, 30)
         return self.jitter.uniform(ceiling_s / 2, ceiling_s)
 
 
 class Committer:
-    """The one place that decides what became of a transaction.
+    """Commits transactions; the only place that determines their outcome.
 
-    A transaction whose answer was lost is read back by its token. As long as
-    its rows still have the expected versions it may be on its way, so it is
-    sent again: its conditions let it take effect at most once.
+    If the reply to a transaction was lost, the committer reads one of its rows
+    and compares the row's token. While the rows still have the expected
+    versions, the request may still be in flight, so the committer sends it
+    again. The version conditions ensure that it takes effect at most once.
 
-    :param give_up_s: after this it stays UNKNOWN.
-    :param clock_s: monotonic; replaced, like ``sleep``, in tests.
+    :param give_up_s: how long to resolve a lost reply before returning UNKNOWN.
+    :param clock_s: a monotonic clock; tests replace it and ``sleep``.
     """
 
     def __init__(
@@ -60,23 +64,24 @@
     async def commit(
         self, transaction: Transaction, give_up_s: float | None = None
     ) -> CommitResult:
-        """Send a transaction and return what became of it.
+        """Commit a transaction and return its outcome.
 
-        :raises StoreUnavailableError: it certainly did not take effect.
+        :raises StoreUnavailableError: the transaction certainly did not take
+            effect.
         """
         result = await self._tables.commit(transaction)
         if result.outcome is not CommitOutcome.UNKNOWN:
             return result
         limit_s = self._give_up_s if give_up_s is None else give_up_s
-        return await self._settle(transaction, self._clock_s() + limit_s)
+        return await self._resolve(transaction, self._clock_s() + limit_s)
 
-    async def _settle(
+    async def _resolve(
         self, transaction: Transaction, give_up_at_s: float
     ) -> CommitResult:
         backoff = Backoff()
         while self._clock_s() < give_up_at_s:
             try:
-                result = await self._look(transaction)
+                result = await self._resolve_once(transaction)
             except StoreUnavailableError:
                 result = None
             if result is not None:
@@ -84,8 +89,8 @@
             await self._sleep(backoff.next_s())
         return CommitResult(CommitOutcome.UNKNOWN)
 
-    async def _look(self, transaction: Transaction) -> CommitResult | None:
-        """Read back, send again; None while it is still not known."""
+    async def _resolve_once(self, transaction: Transaction) -> CommitResult | None:
+        """Read the row, then resend; return None while the outcome is unknown."""
         if await self._is_applied(transaction):
             return CommitResult(CommitOutcome.COMMITTED)
         result = await self._tables.commit(transaction)
@@ -100,12 +105,12 @@
         return result
 
     async def _is_applied(self, transaction: Transaction) -> bool:
-        write = _witness(transaction)
+        write = _representative_write(transaction)
         row = await self._read(write.key)
         return row is not None and row.token == transaction.token
 
     async def _may_be_overwritten(self, transaction: Transaction) -> bool:
-        write = _witness(transaction)
+        write = _representative_write(transaction)
         row = await self._read(write.key)
         return row is not None and row.version > write.expected_version
 
@@ -114,7 +119,11 @@
         return rows.get(key)
 
 
-def _witness(transaction: Transaction) -> Write:
-    """Return the write whose row shows whether the transaction took effect."""
-    kept = [write for write in transaction.writes if write.value is not None]
-    return (kept or list(transaction.writes))[0]
+def _representative_write(transaction: Transaction) -> Write:
+    """Return the write whose row shows whether the transaction took effect.
+
+    A deletion leaves no row whose token can be compared, so a write with a value
+    is preferred.
+    """
+    upserts = [write for write in transaction.writes if write.value is not None]
+    return (upserts or list(transaction.writes))[0]
--- a/src/streamthread/leases/tests/test_committer.py
+++ b/src/streamthread/leases/tests/test_committer.py
@@ -1,4 +1,4 @@
-"""Transactions whose answers are lost, late, or never came."""
+"""Transactions whose requests or replies are lost, delayed or refused."""
 
 import asyncio
 import typing as t
@@ -20,7 +20,7 @@
 
 
 class ScriptedTables(Tables):
-    """Shows one fault a commit, in the order of a script."""
+    """Injects one fault per commit, in the order of a script."""
 
     def __init__(self, script: t.Sequence[str]) -> None:
         self.inner = MemoryTables()
@@ -74,7 +74,7 @@
 class TestCommitter:
     @hypothesis.given(st.lists(st.sampled_from(FAULTS), max_size=4), st.booleans())
     def test_outcome_is_what_happened(self, script: list[str], taken: bool) -> None:
-        """Whatever is told, the row agrees, also after late deliveries."""
+        """The row matches the reported outcome, even after delayed deliveries."""
 
         async def scenario() -> None:
             tables = ScriptedTables(script)
