--- a/src/streamthread/leases/__init__.py
+++ b/src/streamthread/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Ownership: leases, shards, epochs, and settled commits."""
+"""Shard ownership: leases, epochs, and commits whose outcome is resolved."""
 
 from .committer import Backoff
 from .committer import Committer
--- a/src/streamthread/leases/holdings.py
+++ b/src/streamthread/leases/holdings.py
@@ -1,4 +1,4 @@
-"""The shards that this daemon holds: their rows read, taken and given up."""
+"""Reads shard rows, and acquires and releases shards for this daemon."""
 
 import typing as t
 
@@ -23,12 +23,12 @@
 AREA = "leases"
 
 Commit = t.Callable[[tuple[Write, ...]], t.Awaitable[CommitResult]]
-"""Commits writes together, within the time for which renewing can wait."""
+"""Commits writes atomically, in less time than the lease renewal can be delayed."""
 
 
 @attrs.frozen
-class _RunOfDaemon:
-    """What decides which shards a daemon holds, for one run of it."""
+class _DaemonState:
+    """The part of a lease that determines which shards its daemon should hold."""
 
     daemon_id: str
     incarnation: str
@@ -36,40 +36,41 @@
 
 
 class ShardHoldings:
-    """Takes the shards that this daemon ranks first for, and gives up others.
+    """Acquires the shards that this daemon ranks first for, and releases others.
 
-    Leases are asked for after each wait anew: a planned stop that began
-    meanwhile must keep this daemon from taking more.
+    The leases are requested again after each await, because a planned stop that
+    began in the meantime must prevent this daemon from acquiring more shards.
 
-    :param me: returns this daemon's lease.
-    :param live: returns the leases that have not expired, this daemon's included.
-    :param reread_s: the rows are read so often even if no daemon came or went.
+    :param own_lease: returns this daemon's lease.
+    :param live: returns the leases that have not expired, including this daemon's.
+    :param max_read_age_s: the rows are read again after this time even if no
+        daemon joined or left.
     """
 
     def __init__(
         self,
         tables: Tables,
         recorder: Recorder,
-        me: t.Callable[[], LeaseRecord],
+        own_lease: t.Callable[[], LeaseRecord],
         live: t.Callable[[], t.Sequence[LeaseRecord]],
         shard_count: int,
-        reread_s: float,
+        max_read_age_s: float,
         commit: Commit,
     ) -> None:
-        self.changes = 0
-        """Grows with each change of the shards that are held."""
+        self.change_count = 0
+        """Increases whenever the set of held shards may have changed."""
         self._tables = tables
         self._recorder = recorder
-        self._me = me
+        self._own_lease = own_lease
         self._live = live
         self._shard_count = shard_count
-        self._reread_s = reread_s
+        self._max_read_age_s = max_read_age_s
         self._commit = commit
         self._held: dict[int, int] = {}
         self._states: dict[int, ShardState] = {}
-        self._read_for: frozenset[_RunOfDaemon] = frozenset()
+        self._known_daemons: frozenset[_DaemonState] = frozenset()
         self._read_at_s = 0.0
-        self._unsettled = True
+        self._handover_pending = True
 
     def __contains__(self, shard: int) -> bool:
         return shard in self._held
@@ -79,49 +80,52 @@
         return dict(self._held)
 
     def fence(self, shard: int) -> Fence:
-        """Return the condition that this daemon still holds a shard it holds."""
+        """Return the write condition that this daemon still holds the shard.
+
+        The daemon must hold the shard when this is called.
+        """
         return Fence(_shard_key(shard), self._held[shard])
 
     def last_read(self, shard: int) -> ShardState | None:
-        """Return a shard's row as it was read, or taken, last."""
+        """Return a shard's state as last read from the store or acquired."""
         return self._states.get(shard)
 
     def clear(self) -> None:
-        """Forget all that is held."""
+        """Drop all held shards from memory, without writing to the store."""
         self._held.clear()
-        self.changes += 1
+        self.change_count += 1
 
-    async def follow(self, now_s: float) -> None:
-        """Read the rows where that may be of use, and act on them."""
+    async def refresh(self, now_s: float) -> None:
+        """Read the shard rows if they may have changed, and rebalance the shards."""
         if self._should_read(now_s):
-            await self._read_and_act(now_s)
+            await self._read_and_rebalance(now_s)
 
     def _should_read(self, now_s: float) -> bool:
-        """Whether hand-overs are to be expected, or it was long ago.
+        """Whether handovers are pending, or the last read is too old.
 
-        The shard rows are the larger part of what is read; they change only
-        when daemons come and go.
+        The shard rows are most of the data that a cycle reads, and they change
+        only when daemons join, leave or stop. So they are not read every cycle.
         """
-        runs = frozenset(
-            _RunOfDaemon(one.daemon_id, one.incarnation, one.stopping)
-            for one in self._live()
+        daemons = frozenset(
+            _DaemonState(lease.daemon_id, lease.incarnation, lease.stopping)
+            for lease in self._live()
         )
-        if runs != self._read_for:
-            self._read_for = runs
-            self._unsettled = True
+        if daemons != self._known_daemons:
+            self._known_daemons = daemons
+            self._handover_pending = True
         age_s = now_s - self._read_at_s
-        return self._unsettled or age_s >= self._reread_s
+        return self._handover_pending or age_s >= self._max_read_age_s
 
-    async def _read_and_act(self, now_s: float) -> None:
+    async def _read_and_rebalance(self, now_s: float) -> None:
         rows = await self._tables.scan_all(SHARD_PREFIX)
         self._read_at_s = now_s
         states = self._decode(rows)
         self._states = {state.shard: state for state in states}
         self._reconcile(states)
-        plan = plan_shards(states, self._me(), self._live())
+        plan = plan_shards(states, self._own_lease(), self._live())
         await self._release(plan.release)
-        await self._take(plan.take)
-        self._unsettled = not _are_settled(states, self._live())
+        await self._acquire(plan.acquire)
+        self._handover_pending = not _match_ranking(states, self._live())
 
     def _decode(self, rows: t.Iterable[Row]) -> list[ShardState]:
         states = {
@@ -136,46 +140,53 @@
         return list(states.values())
 
     def _reconcile(self, states: t.Iterable[ShardState]) -> None:
-        """Believe the table: forget what was taken, regain what is still ours."""
+        """Make the held shards match the table.
+
+        Drops shards that another daemon has acquired, and restores shards that
+        the table still assigns to this incarnation.
+        """
         lost: list[ShardState] = []
         before = dict(self._held)
-        me = self._me()
+        own_lease = self._own_lease()
         for state in states:
-            if state.is_held_by(me):
+            if state.is_held_by(own_lease):
                 self._held[state.shard] = state.epoch
             elif self._held.pop(state.shard, None) is not None:
                 lost.append(state)
         if self._held != before:
-            self.changes += 1
+            self.change_count += 1
         if lost:
             holders = " ".join(sorted({state.holder for state in lost}))
-            self._record_shards("shards-lost", lost, f"taken by {holders}")
+            self._record_shards("shards-lost", lost, f"acquired by {holders}")
 
-    async def _take(self, states: t.Sequence[ShardState]) -> None:
-        taken: list[ShardState] = []
+    async def _acquire(self, states: t.Sequence[ShardState]) -> None:
+        acquired: list[ShardState] = []
         for batch in _batches(states):
-            if await self._write_holder(batch, self._me()):
-                taken.extend(batch)
-        me = self._me()
-        for state in taken:
+            if await self._write_holder(batch, self._own_lease()):
+                acquired.extend(batch)
+        own_lease = self._own_lease()
+        for state in acquired:
             epoch = state.epoch + 1
             self._held[state.shard] = epoch
             self._states[state.shard] = ShardState(
-                state.shard, epoch, me.daemon_id, me.incarnation
+                state.shard, epoch, own_lease.daemon_id, own_lease.incarnation
             )
-        if taken:
-            self.changes += 1
-            self._record_shards("shards-taken", taken, "they were free")
+        if acquired:
+            self.change_count += 1
+            self._record_shards("shards-taken", acquired, "had no live holder")
 
     async def _release(self, states: t.Sequence[ShardState]) -> None:
-        """Forget first, then let go: nothing is decided in between."""
-        self.changes += 1
+        """Release shards: drop them from memory first, then write the rows.
+
+        In this order the daemon makes no decision about a shard during release.
+        """
+        self.change_count += 1
         for state in states:
             self._held.pop(state.shard, None)
         for batch in _batches(states):
             await self._write_holder(batch, None)
         if states:
-            self._record_shards("shards-released", states, "others rank first")
+            self._record_shards("shards-released", states, "other daemons rank first")
 
     async def _write_holder(
         self, states: t.Sequence[ShardState], holder: LeaseRecord | None
@@ -194,14 +205,16 @@
         self, kind: str, states: t.Iterable[ShardState], cause: str
     ) -> None:
         shards = " ".join(str(state.shard) for state in states)
-        subject = f"entry/{self._me().daemon_id}"
+        subject = f"entry/{self._own_lease().daemon_id}"
         self._recorder.record(AREA, kind, subject, f"{cause}: {shards}")
 
 
-def _are_settled(states: t.Iterable[ShardState], live: t.Sequence[LeaseRecord]) -> bool:
-    """Whether the rows showed every shard with the daemon that should hold it."""
-    incarnations = {one.daemon_id: one.incarnation for one in live}
-    names = [one.daemon_id for one in live if not one.stopping]
+def _match_ranking(
+    states: t.Iterable[ShardState], live: t.Sequence[LeaseRecord]
+) -> bool:
+    """Whether every shard is held by the live daemon that ranks first for it."""
+    incarnations = {lease.daemon_id: lease.incarnation for lease in live}
+    names = [lease.daemon_id for lease in live if not lease.stopping]
     return all(
         state.holder == first_ranked(names, state.shard)
         and state.incarnation == incarnations.get(state.holder)
--- a/src/streamthread/leases/rendezvous.py
+++ b/src/streamthread/leases/rendezvous.py
@@ -13,7 +13,7 @@
 
 
 def first_ranked(names: t.Collection[str], shard: int) -> str:
-    """Return the name that ranks first for a shard, or ``""`` without names."""
+    """Return the name that ranks first for a shard, or ``""`` if there are none."""
     if not names:
         return ""
     return max(names, key=lambda name: (_weight(name, shard), name))
--- a/src/streamthread/leases/service.py
+++ b/src/streamthread/leases/service.py
@@ -1,4 +1,4 @@
-"""Keeps this daemon's lease, and tells what it holds while that lasts."""
+"""Renews this daemon's lease, and reports which shards it holds while valid."""
 
 import random
 import typing as t
@@ -28,16 +28,16 @@
 
 LEASE_PREFIX = "lease/"
 
-SETTLE_FRACTION = 0.25
-"""The part of the term for which a lost reply is settled."""
+RESOLVE_TERM_FRACTION = 0.25
+"""The fraction of the term spent on resolving the outcome of a lost reply."""
 
-RENEW_SPREAD = 0.1
-"""Pauses differ by this part, so that daemons do not renew in step."""
+RENEW_JITTER_FRACTION = 0.1
+"""Pauses vary by this fraction, so that daemons do not renew simultaneously."""
 
 
 @attrs.frozen
 class LeaseSettings:
-    """Terms of the leases; the same in all daemons."""
+    """Lease settings, which must be the same in all daemons."""
 
     shard_count: int = 64
     renew_s: float = 2.0
@@ -46,12 +46,13 @@
 
 
 class LeaseService(Service):
-    """Renews the lease row, watches the others, says what is held meanwhile.
+    """Renews this daemon's lease, observes the others, and reports the held shards.
 
-    While its own lease may have lapsed nothing is decided, but what is held is
-    kept in memory: an outage of the store ends without a reload.
+    While its lease may have expired, the daemon makes no decisions. It still
+    remembers the held shards, so that no reload is needed after a store outage.
 
-    :param record: this daemon's lease; addresses and hall for the others.
+    :param record: this daemon's lease, with the addresses and the hall that the
+        other daemons read.
     """
 
     def __init__(
@@ -75,47 +76,48 @@
         self._shards = ShardHoldings(
             tables,
             recorder,
-            me=lambda: self.record,
+            own_lease=lambda: self.record,
             live=lambda: self._live,
             shard_count=settings.shard_count,
-            reread_s=settings.term_s,
+            max_read_age_s=settings.term_s,
             commit=self._commit,
         )
         self._live: list[LeaseRecord] = [record]
         self._random = random.Random(record.daemon_id)
 
-    # What other slices ask.
+    # Queries from other packages.
 
     @property
     def holdings(self) -> int:
-        """Grows with each change of the shards that are held."""
-        return self._shards.changes
+        """Increases whenever the set of held shards may have changed."""
+        return self._shards.change_count
 
     def fence(self, subject: str) -> Fence:
-        """Return the condition that every hard write about a subject carries.
+        """Return the fence that every hard write about a subject must include.
 
-        :raises NotHolderError: the subject's shard is not held here, or this
-            daemon's own lease may have lapsed.
+        :raises NotHolderError: this daemon does not hold the subject's shard, or
+            its own lease may have expired.
         """
         shard = shard_of(subject, self.settings.shard_count)
         if not self.is_trusted() or shard not in self._shards:
             raise NotHolderError(
-                f"shard {shard} is not held here",
-                remedy="ask its holder, or retry in some seconds",
+                f"this daemon does not hold shard {shard}",
+                remedy="ask its holder, or retry in a few seconds",
                 location=subject,
             )
         return self._shards.fence(shard)
 
     def holds(self, subject: str) -> bool:
-        """Whether this daemon may decide about a subject now."""
+        """Whether this daemon may currently make decisions about a subject."""
         shard = shard_of(subject, self.settings.shard_count)
         return self.is_trusted() and shard in self._shards
 
     def holder_of(self, subject: str) -> LeaseRecord | None:
         """Return the live daemon that holds a subject's shard, if known.
 
-        Of others it tells what was read last; of itself, what holds now: a row may
-        still name a daemon whose lease has lapsed, or which has given the shard up.
+        For other daemons the result reflects the last read. For this daemon it
+        reflects the current state, because the row last read may still name it
+        after its lease has expired or it has released the shard.
         """
         shard = shard_of(subject, self.settings.shard_count)
         state = self._shards.last_read(shard)
@@ -127,7 +129,7 @@
         return matches[0] if matches else None
 
     def is_trusted(self) -> bool:
-        """Whether this daemon may still rely on its own lease."""
+        """Whether this daemon's own lease is certainly still valid."""
         return self._clock_s() < self._trusted_until_s
 
     def held_shards(self) -> dict[int, int]:
@@ -140,30 +142,32 @@
         return [record for record in self._live if record.daemon_id != mine]
 
     def live_ids(self) -> tuple[str, ...]:
-        """Return the ids of the live daemons, sorted, this one's among them."""
+        """Return the sorted ids of the live daemons, including this one."""
         others = [peer.daemon_id for peer in self.peers()]
         return tuple(sorted([*others, self.record.daemon_id]))
 
-    # The cycle.
+    # The renewal cycle.
 
     @Service.task
-    async def _keep(self) -> None:
+    async def _renew_periodically(self) -> None:
         while not self.should_stop:
             await self.cycle()
-            factor = self._random.uniform(1 - RENEW_SPREAD, 1 + RENEW_SPREAD)
+            factor = self._random.uniform(
+                1 - RENEW_JITTER_FRACTION, 1 + RENEW_JITTER_FRACTION
+            )
             await self.sleep(self.settings.renew_s * factor)
 
     async def cycle(self) -> None:
-        """Renew, read the others, and act on the shards, once."""
+        """Run one cycle: renew the lease, read the others, and rebalance shards."""
         try:
             renewed = await self._renew()
             if renewed:
-                await self._read_and_act()
+                await self._refresh()
         except StoreUnavailableError as error:
             renewed = False
-            self.log.warning("store unavailable: %s", error)
+            self.log.warning("lease cycle failed, store unavailable: %s", error)
         if not renewed:
-            self._observer.interrupt()
+            self._observer.mark_interrupted()
 
     async def _renew(self) -> bool:
         sent_at_s = self._clock_s()
@@ -175,31 +179,31 @@
             await self._read_own_row(key)
             return False
         self._lease_version += 1
-        lasts_s = self.settings.term_s - self.settings.margin_s
-        self._trusted_until_s = sent_at_s + lasts_s
+        valid_s = self.settings.term_s - self.settings.margin_s
+        self._trusted_until_s = sent_at_s + valid_s
         return True
 
     async def _commit(self, writes: tuple[Write, ...]) -> CommitResult:
-        """Commit, but settle a lost reply only for so long as renewing can wait."""
-        give_up_s = self.settings.term_s * SETTLE_FRACTION
+        """Commit, but resolve a lost reply only as long as renewal can be delayed."""
+        give_up_s = self.settings.term_s * RESOLVE_TERM_FRACTION
         return await self.committer.commit(Transaction(writes), give_up_s)
 
     async def _read_own_row(self, key: str) -> None:
         rows = await self._tables.get([key])
         self._lease_version = rows[key].version if key in rows else ABSENT
 
-    async def _read_and_act(self) -> None:
+    async def _refresh(self) -> None:
         lease_rows = await self._tables.scan_all(LEASE_PREFIX)
         now_s = self._clock_s()
         records = [cattrs.structure(row.value, LeaseRecord) for row in lease_rows]
         self._observer.observe(records, now_s)
         self._live = self._observer.live(now_s)
-        await self._shards.follow(now_s)
+        await self._shards.refresh(now_s)
 
     # The planned stop.
 
     async def hand_over(self) -> None:
-        """Mark this daemon as stopping and give up its shards in order."""
+        """Mark this daemon as stopping and release its shards gracefully."""
         self.record = attrs.evolve(self.record, stopping=True)
         try:
             await self.cycle()
@@ -207,12 +211,12 @@
             self._shards.clear()
 
     async def leave(self) -> None:
-        """Remove the lease row, so that the others need not wait for the term."""
+        """Delete the lease row, so that the others need not wait for it to expire."""
         key = LEASE_PREFIX + self.record.daemon_id
         write = Write(key, None, self._lease_version)
         await self._tables.commit(Transaction((write,)))
 
 
 def new_incarnation() -> str:
-    """Return an identifier for one run of one daemon."""
+    """Return a random identifier for one incarnation of a daemon."""
     return uuid.uuid4().hex[:12]
--- a/src/streamthread/leases/shards.py
+++ b/src/streamthread/leases/shards.py
@@ -1,4 +1,4 @@
-"""Shard rows, and the pure decision which of them to take or give up."""
+"""Shard states, and the pure function that plans acquisitions and releases."""
 
 import typing as t
 
@@ -12,9 +12,10 @@
 
 @attrs.frozen
 class ShardState:
-    """Who holds a shard. The row's version is the epoch of the holding.
+    """The holder of a shard, and the epoch of its ownership.
 
-    The row is written at hand-over only, so the version grows by one each time.
+    The epoch is the version of the shard's row. The row is written only at a
+    handover, so each handover increases the epoch by one.
     """
 
     shard: int
@@ -23,7 +24,7 @@
     incarnation: str
 
     def is_held_by(self, record: LeaseRecord) -> bool:
-        """Whether this very process holds it."""
+        """Whether the incarnation that wrote this lease holds the shard."""
         return (
             self.holder == record.daemon_id and self.incarnation == record.incarnation
         )
@@ -31,31 +32,33 @@
 
 @attrs.frozen
 class ShardPlan:
-    """What one daemon should do next."""
+    """The shards that one daemon should acquire and release next."""
 
-    take: tuple[ShardState, ...]
+    acquire: tuple[ShardState, ...]
     release: tuple[ShardState, ...]
 
 
 def plan_shards(
-    states: t.Iterable[ShardState], me: LeaseRecord, live: t.Sequence[LeaseRecord]
+    states: t.Iterable[ShardState],
+    own_lease: LeaseRecord,
+    live: t.Sequence[LeaseRecord],
 ) -> ShardPlan:
-    """Decide which shards this daemon takes and which it gives up.
+    """Decide which shards this daemon acquires and which it releases.
 
-    :param live: the leases that have not expired, this daemon's included.
+    :param live: the leases that have not expired, including this daemon's.
     """
     candidates = [record.daemon_id for record in live if not record.stopping]
     by_id = {record.daemon_id: record for record in live}
-    take: list[ShardState] = []
+    acquire: list[ShardState] = []
     release: list[ShardState] = []
     for state in states:
-        should_hold = first_ranked(candidates, state.shard) == me.daemon_id
-        if state.is_held_by(me):
+        should_hold = first_ranked(candidates, state.shard) == own_lease.daemon_id
+        if state.is_held_by(own_lease):
             if not should_hold and candidates:
                 release.append(state)
         elif should_hold and _is_free(state, by_id):
-            take.append(state)
-    return ShardPlan(tuple(take), tuple(release))
+            acquire.append(state)
+    return ShardPlan(tuple(acquire), tuple(release))
 
 
 def _is_free(state: ShardState, live: t.Mapping[str, LeaseRecord]) -> bool:
--- a/src/streamthread/leases/tests/test_holdings.py
+++ b/src/streamthread/leases/tests/test_holdings.py
@@ -1,4 +1,4 @@
-"""Which shards a daemon takes when its leases change while it reads."""
+"""Which shards a daemon acquires if its lease changes while it reads the rows."""
 
 import typing as t
 
@@ -18,7 +18,7 @@
 
 
 class Daemon:
-    """A lease that tests change, and the holdings that follow it."""
+    """A lease that the test changes, and the shard holdings that depend on it."""
 
     def __init__(self, tables: MemoryTables) -> None:
         self.record = LeaseRecord("entry-0", "run-0", 1, "", "", "hann")
@@ -26,10 +26,10 @@
         self.shards = ShardHoldings(
             tables,
             Recorder("entry-0"),
-            me=lambda: self.record,
+            own_lease=lambda: self.record,
             live=lambda: [self.record],
             shard_count=SHARD_COUNT,
-            reread_s=8.0,
+            max_read_age_s=8.0,
             commit=self._commit,
         )
 
@@ -41,7 +41,7 @@
 
 
 class StoppingTables(MemoryTables):
-    """Calls a function while the rows are read."""
+    """Calls a function during each scan of the rows."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,15 +53,15 @@
 
 
 class TestPlannedStop:
-    async def test_a_daemon_alone_takes_every_shard(self) -> None:
+    async def test_single_daemon_acquires_every_shard(self) -> None:
         daemon = Daemon(MemoryTables())
-        await daemon.shards.follow(now_s=1.0)
+        await daemon.shards.refresh(now_s=1.0)
         assert set(daemon.shards.epochs()) == set(range(SHARD_COUNT))
 
-    async def test_takes_nothing_once_it_began_during_the_read(self) -> None:
+    async def test_acquires_nothing_if_it_begins_during_the_read(self) -> None:
         tables = StoppingTables()
         daemon = Daemon(tables)
         tables.on_scan = daemon.stop
-        await daemon.shards.follow(now_s=1.0)
+        await daemon.shards.refresh(now_s=1.0)
         assert daemon.shards.epochs() == {}
         assert await tables.scan_all("shard/") == []
--- a/src/streamthread/leases/tests/test_service.py
+++ b/src/streamthread/leases/tests/test_service.py
@@ -1,9 +1,9 @@
-"""What a daemon says of who holds a shard.
+"""Which daemon a lease service reports as the holder of a shard.
 
-Seen: of three entries, one that had been stopped for longer than its lease said of
-itself that it held a pool, whose commits another entry went on with. It came about by
-the rows that it had read before: they named it until it read them anew. Proved by the
-epochs of the commits that the platform took, and by these tests, which failed before.
+Guards against a daemon that reports itself as holder after another has taken over. A
+daemon that was paused for longer than its lease still had the old shard rows in memory.
+They named it as the holder of a pool until it read them again, although one of the two
+other daemons already committed for that pool under a later epoch.
 """
 
 import pytest
@@ -19,7 +19,7 @@
 
 
 class _Cell:
-    """Daemons on one table, whose time is set by the test."""
+    """Daemons that share one table and a clock set by the test."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -49,17 +49,17 @@
         await cell.cycles(daemon)
         assert daemon.holder_of(SUBJECT) == daemon.record
 
-    async def test_is_nobody_once_its_own_lease_may_have_lapsed(
+    async def test_is_none_once_its_own_lease_may_have_expired(
         self, cell: _Cell
     ) -> None:
-        """Guards against an entry that names itself after it was stalled."""
+        """Guards against a daemon that reports itself as holder after a pause."""
         daemon = cell.daemon("entry-0", "run-0")
         await cell.cycles(daemon)
         cell.now_s += SETTINGS.term_s
         assert daemon.holder_of(SUBJECT) is None
 
-    async def test_is_nobody_once_it_has_given_the_shard_up(self, cell: _Cell) -> None:
-        """Guards against an entry that names itself after a hand-over."""
+    async def test_is_none_once_it_has_released_the_shard(self, cell: _Cell) -> None:
+        """Guards against a daemon that reports itself as holder after a handover."""
         daemon = cell.daemon("entry-0", "run-0")
         await cell.cycles(daemon)
         await daemon.hand_over()
--- a/src/streamthread/leases/tests/test_shards.py
+++ b/src/streamthread/leases/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing and the plan of shards."""
+"""Rendezvous hashing, and planning which shards to acquire or release."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -21,8 +21,8 @@
         self, daemons: set[str], shard: int
     ) -> None:
         first = first_ranked(daemons, shard)
-        for gone in daemons - {first}:
-            assert first_ranked(daemons - {gone}, shard) == first
+        for removed in daemons - {first}:
+            assert first_ranked(daemons - {removed}, shard) == first
 
 
 class TestPlanShards:
@@ -32,22 +32,24 @@
     ) -> None:
         live = [_record(name) for name in daemons]
         states = [ShardState(shard, 0, "", "") for shard in range(count)]
-        takers = [
-            state.shard for me in live for state in plan_shards(states, me, live).take
+        planned = [
+            state.shard
+            for me in live
+            for state in plan_shards(states, me, live).acquire
         ]
-        assert sorted(takers) == list(range(count))
+        assert sorted(planned) == list(range(count))
 
     def test_shard_of_another_live_daemon_is_left_alone(self) -> None:
         live = [_record("a"), _record("b")]
         states = [ShardState(shard, 1, "a", "run-a") for shard in range(20)]
-        assert plan_shards(states, live[1], live).take == ()
+        assert plan_shards(states, live[1], live).acquire == ()
 
-    def test_shard_of_an_earlier_run_is_free(self) -> None:
+    def test_shard_of_an_earlier_incarnation_is_free(self) -> None:
         live = [_record("a")]
         states = [ShardState(0, 1, "a", "an-earlier-run")]
-        assert plan_shards(states, live[0], live).take == tuple(states)
+        assert plan_shards(states, live[0], live).acquire == tuple(states)
 
-    def test_stopping_daemon_gives_up_everything(self) -> None:
+    def test_stopping_daemon_releases_everything(self) -> None:
         me = _record("a", stopping=True)
         states = [ShardState(shard, 1, "a", "run-a") for shard in range(5)]
         assert len(plan_shards(states, me, [me, _record("b")]).release) == 5
--- a/tools/guards_entry.py
+++ b/tools/guards_entry.py
@@ -56,15 +56,15 @@
     Guard(
         "observation-break",
         "leases/observer.py",
-        "        if self._was_broken(now_s):\n            self._sightings.clear()\n",
+        "        if self._has_gap(now_s):\n            self._observations.clear()\n",
         "",
         (f"{OWNERSHIP}::TestStoreOutage",),
     ),
     Guard(
         "own-lease-margin",
         "leases/service.py",
-        "lasts_s = self.settings.term_s - self.settings.margin_s",
-        "lasts_s = self.settings.term_s * 10",
+        "valid_s = self.settings.term_s - self.settings.margin_s",
+        "valid_s = self.settings.term_s * 10",
         (f"{OWNERSHIP}::TestShards",),
     ),
     Guard(
