--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -67,12 +67,13 @@
 """The process exits this long before the platform would kill it."""
 
 STOP_SLACK_S = 0.1
-"""A run that its runner still lists this long after the longest stop was not stopped.
-Listings give the time in whole milliseconds."""
+"""Added to the longest duration of a stop: a run that its runner still lists after that
+was not stopped. The slack is there since listings give the time in whole
+milliseconds."""
 
 EARLY_START_SHARE = 0.4
-"""Share used of the time by which a start may be early. The rest allows for clocks
-that differ."""
+"""The platform limits how much earlier than its due time an occurrence may start. The
+scheduler uses this share of the limit; the rest allows for clocks that differ."""
 
 MOVE_BURST_FACTOR = 2.0
 """One decision may order this many times the moves that the cloud accepts on average
@@ -80,9 +81,9 @@
 limit counts whole seconds."""
 
 MAX_HOLD_S = 6.0
-"""Upper bound on holds, even where runners accept longer ones. Outages of the store
-last 4.5 s, and a new holder waits for this time before it starts elsewhere the runs
-that are recorded on a runner that it never reached."""
+"""Runs are never extended for longer than this, even if their runner accepts longer
+holds. Outages of the store last 4.5 s. A new holder that never reached a runner waits
+for this time before it starts the runs recorded on that runner elsewhere."""
 
 
 def cell_settings(node: NodeSettings) -> CellSettings:
@@ -296,9 +297,10 @@
         log.info("stopped", extra={"in_flight": self.frontend.in_flight})
 
     def _choose_successor(self) -> str:
-        """Return the largest follower, or the largest peer if there is none.
+        """Return the largest follower, or the largest peer if there is no follower.
 
-        A slow store can make all followers suspect the holder.
+        If the store is slow, the holder's heartbeats may say that others may acquire
+        the cell. Daemons that receive such a heartbeat stop following the holder.
         """
         members = self.lease.members
         return members.largest(self.endpoint.followers or members.addresses)
--- a/src/streamthread/gateway/forwarding.py
+++ b/src/streamthread/gateway/forwarding.py
@@ -140,7 +140,10 @@
         return elapsed_s >= self._settings.give_up_s and not in_progress
 
     def _has_healthy_holder(self) -> bool:
-        """Whether the holder is here, or sent a recent heartbeat without suspicion."""
+        """Whether the holder is here, or its last heartbeat is recent.
+
+        A heartbeat that says that others may acquire the cell doesn't count.
+        """
         holder = self._holder()
         if holder is not None and holder.active:
             return True
--- a/src/streamthread/gateway/tests/test_documents.py
+++ b/src/streamthread/gateway/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""How often a daemon reads the operator's documents in full."""
+"""How often a daemon reads the operator's documents, and which answers confirm them."""
 
 import json
 import typing as t
