--- a/tests/model/test_stops.py
+++ b/tests/model/test_stops.py
@@ -1,4 +1,4 @@
-"""Nothing of a cancelled job goes on running, whichever calls or daemons fail."""
+"""Nothing of a cancelled job goes on running even if calls, daemons or runners fail."""
 
 import attrs
 import logbook
@@ -137,8 +137,9 @@
     schedules(REFUSALS, cancel_delays_s=[*CANCEL_DELAYS_S, SETTLED_AT_S, SETTLED_AT_S])
 )
 def test_no_account_is_over_its_limit(schedule: Schedule) -> None:
-    """Two of up to six tasks may run at once. Meanwhile orders arrive late, runs get
-    speculative copies or are stopped, and holders are replaced."""
+    """Two of up to six tasks may run at once, and the others wait. Meanwhile orders
+    arrive late, runs get speculative copies or are stopped, and holders are replaced.
+    """
     simulate(schedule, limit_cpu=2 * TASK_CPU)
 
 
