--- a/tests/cell/test_cancels.py
+++ b/tests/cell/test_cancels.py
@@ -1,11 +1,12 @@
 """A confirmed cancel ends all runs of its job, whatever their runners answer.
 
 Guards against long-running tasks that went on for good after the cancels of their jobs
-had been confirmed and all faults were over. A stop had no effect at the first attempt:
-the holder took every answer for a stop, even that of an unhealthy runner that had done
-nothing, and took a run that the runner still listed for one that was just stopping. It
-did not send the stop again, and each hold call that listed the run extended it. A
-runner that refuses one stop then runs the task for as long as it is held.
+had been confirmed and all faults were over. This happened if a stop had no effect at
+the first attempt. The holder considered the run stopped after any answer, even that of
+an unhealthy runner that had done nothing. If the runner still listed the run, the
+holder assumed that the stop was in progress. It did not send the stop again, and each
+hold call that listed the run extended it. A runner that refused one stop ran the task
+for as long as it was held.
 """
 
 from .support import Caller
--- a/tests/cell/test_cancels_without_job.py
+++ b/tests/cell/test_cancels_without_job.py
@@ -174,7 +174,8 @@
 
 
 async def _replace_holder_silently(cell: Cell) -> None:
-    """Write the rows of another holder that has accepted a job, unknown to this one."""
+    """Write the rows of a new holder that has accepted a job, without notice to the old
+    holder."""
     route = Route(
         name=ROUTE,
         host="desk.example",
--- a/tests/cell/test_crashing_tasks.py
+++ b/tests/cell/test_crashing_tasks.py
@@ -90,8 +90,9 @@
                 if holder is not None and holder.holder is not None:
                     holder.holder.give_up("the test replaces the holder")
             await caller.until_state(CRASHING, "failed", at=1)
-            # A holder that ends has not yet attributed a crash. The next holder doesn't
-            # know when the run started, and gives the task up one start later.
+            # A holder that ends here has not yet attributed the latest crash. The next
+            # holder doesn't know when the run started, and gives the task up one start
+            # later.
             assert len(cell.world.crashes) <= MAX_CRASHES + 2
 
 
--- a/tests/cell/test_documents.py
+++ b/tests/cell/test_documents.py
@@ -18,7 +18,8 @@
 """Some 300 KB in the store's answer."""
 
 SLOW_LINK_BYTES_PER_S = 150_000.0
-"""This many routes take two seconds, longer than any call may wait for an answer."""
+"""At this rate, `MANY_ROUTES` routes take two seconds, which is longer than any call
+may wait for an answer."""
 
 IN_FORCE_WITHIN_S = 8.0
 
--- a/tests/cell/test_restarted_runners.py
+++ b/tests/cell/test_restarted_runners.py
@@ -2,10 +2,11 @@
 
 Guards against long-running tasks that ran nowhere while their holder lived, although
 there was free capacity. A runner crashed and was back 0.5 s later under its id, and the
-holder took both incarnations for one. By the runner's clock, a listing counts as newer
-than a run. The new clock started behind the time at which the former incarnation had
-confirmed the run, so the absence of the run from the listings proved nothing. If the
-new clock was ahead of the old one, the runs were placed again at once.
+holder took both incarnations for one. The runner's clock decides whether a listing is
+newer than the confirmation of a run. The new clock started behind the time at which the
+former incarnation had confirmed the run, so the absence of the run from the listings
+proved nothing. The runs were placed again at once if the new clock was ahead of the old
+one, and never if it was behind.
 """
 
 import json
--- a/tests/cell/test_silent_store.py
+++ b/tests/cell/test_silent_store.py
@@ -1,4 +1,4 @@
-"""The store stops answering: what the callers that submit jobs are answered, and when.
+"""How callers that submit jobs are answered, and when, if the store stops answering.
 
 The store refuses no call, so a holder notices it only by missing answers. A submission
 that waits for the commit after the one that hangs has not been written anywhere.
--- a/tests/cell/test_slow_store.py
+++ b/tests/cell/test_slow_store.py
@@ -1,7 +1,7 @@
-"""A store that is slower than any store before still accepts commits.
+"""A store that is slower than ever before still accepts commits.
 
 A commit takes 9 ms, and 0.8 s if the store is 90 times slower. Twice that time is
-longer than the usual lease validity after a commit, but the holder goes on working.
+longer than the usual lease validity after a commit, but no daemon may stop its work.
 """
 
 import asyncio
--- a/tests/cell/test_soak.py
+++ b/tests/cell/test_soak.py
@@ -28,7 +28,8 @@
     SoakPlan(7, seconds=6.0, stops=True, restarts=True),
 )
 REGRESSIONS: tuple[SoakPlan, ...] = (
-    # The stand-in's runner reported an expiry at its next call, not at its time.
+    # The stand-in's runner reported an expiry only when it was next called, not when
+    # the run expired.
     SoakPlan(210, seconds=5.0, first_faults=True),
     # A task was done on a silent runner and started again elsewhere after its run there
     # had expired; then the runner reported the end. That is allowed: the check took an
--- a/tests/cell/test_unanswered_upkeep.py
+++ b/tests/cell/test_unanswered_upkeep.py
@@ -1,7 +1,8 @@
-"""An upkeep request without an answer is sent again, without effect on a new runner.
+"""An upkeep request without an answer is sent again, and ends no newer incarnation.
 
-The platform answers 200 even if the upkeep was done before. If the holder takes that
-answer for the exit of the incarnation listed by then, it drops a healthy runner.
+The platform answers 200 even if the upkeep was done before. If the holder concludes
+from that answer that the incarnation listed by then has exited, it drops a healthy
+runner.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 
 
 def _drop_first_answer(world: CellWorld) -> list[str]:
-    """Leave the first upkeep request unanswered; return the list of requests."""
+    """Carry out the first upkeep without answering it; return the list of requests."""
     port = world.cloud.port
     handler = port._handler
     requests: list[str] = []
