--- a/src/streamthread/scheduler/accounts.py
+++ b/src/streamthread/scheduler/accounts.py
@@ -63,8 +63,8 @@
     A run counts from the moment it is planned until it is known to be over. This
     includes the time while its order is in transit, unanswered or late, while the run
     is being stopped and while its runner is silent. The next holder counts it from its
-    replay on. The plan is durable before the order is sent, so every holder of the cell
-    counts all runs that may exist.
+    replay on. The plan is persisted before the order is sent, so every holder of the
+    cell counts all runs that may exist.
     """
 
     def __init__(self, limit_of: LimitSource) -> None:
--- a/src/streamthread/scheduler/codec.py
+++ b/src/streamthread/scheduler/codec.py
@@ -35,7 +35,7 @@
 
 READ_BACK = "read-back"
 """The reason for stopping a run that an earlier holder left: its job is over, its task
-is done, or the incarnation of its runner has ended."""
+is done, or a runner exit has been attributed to it."""
 
 
 def encode_definition(job: Job) -> bytes:
@@ -222,10 +222,11 @@
 def restore_progress(job: Job, value: bytes) -> None:
     """Restore a job to the progress in its row.
 
-    Recorded attempts may or may not have been sent: they are restored as sent, and the
-    runner is asked. Attempts of a job that is over, of a task that is done, or whose
-    runner was lost are restored as to be stopped: they must not be started any more,
-    and a stop from the previous holder may not have arrived.
+    The start of a persisted attempt may or may not have been sent: the attempt is
+    restored as sent, and the runner is asked. Attempts of a job that is over or a task
+    that is done, and those with an attributed runner exit, are restored as to be
+    stopped: they must not be started any more, and a stop from the previous holder may
+    not have arrived.
 
     :raises UnreadableError: the row can't be read or does not match this job.
     """
--- a/src/streamthread/scheduler/crashes.py
+++ b/src/streamthread/scheduler/crashes.py
@@ -228,7 +228,8 @@
 
     @staticmethod
     def _may_be_at_fault(attempt: Attempt) -> bool:
-        # A run that awaits its stop on the next incarnation was not started there.
+        # A runner exit is attributed to an attempt only once: afterwards, the attempt
+        # only awaits its stop on the next incarnation, which did not start it.
         over = attempt.task.step.occurrence.job.over or attempt.blamed
         return not over and attempt.phase is not Phase.PLANNED
 
--- a/src/streamthread/scheduler/engine.py
+++ b/src/streamthread/scheduler/engine.py
@@ -1,6 +1,6 @@
 """The holder's state of all jobs, and the consequences of each event.
 
-This module does no input or output: the service records the changes and sends the
+This module does no input or output: the service persists the changes and sends the
 orders.
 """
 
@@ -41,7 +41,7 @@
 class Engine:
     """All jobs of a cell, and the resources of its runners.
 
-    :param changed: called with each job whose progress must be recorded.
+    :param changed: called with each job whose progress must be persisted.
     :param limit_of: returns the limit on what a client account may have running at
         once.
     """
@@ -112,9 +112,9 @@
     # Runners.
 
     def add_runner(self, runner: RunnerState) -> None:
-        """Add a new runner incarnation with the attempts that are recorded for it.
+        """Add a new runner incarnation with the attempts that are persisted for it.
 
-        If an earlier holder recorded a run for another incarnation of this runner, the
+        If an earlier holder persisted a run for another incarnation of this runner, the
         run either was lost with that incarnation or has reached this one. It is
         therefore stopped and not started again.
         """
--- a/src/streamthread/scheduler/fleet.py
+++ b/src/streamthread/scheduler/fleet.py
@@ -208,7 +208,10 @@
         return self.usable_as_last_resort() and not self.emptying
 
     def usable_as_last_resort(self) -> bool:
-        """Whether the runner may get tasks that have waited too long elsewhere."""
+        """Whether the runner may get long-running tasks that have waited too long.
+
+        Such a task may go to a runner that is being emptied.
+        """
         return (
             self.ready
             and not self.draining
@@ -220,7 +223,10 @@
 def usable_runners(
     runners: t.Iterable[RunnerState], service: str, last_resort: bool = False
 ) -> list[RunnerState]:
-    """Return the runners of a pool that may get new tasks."""
+    """Return the runners of a pool that may get new tasks.
+
+    :param last_resort: include the runners that are being emptied.
+    """
     return [
         r
         for r in runners
--- a/src/streamthread/scheduler/lags.py
+++ b/src/streamthread/scheduler/lags.py
@@ -61,7 +61,10 @@
         return any(wanted)
 
     def watch(self) -> bool:
-        """Copy or move runs that lag; return whether there were any."""
+        """Copy or move runs that lag; return whether there were any.
+
+        A move stops the run, so that its task is placed elsewhere.
+        """
         found = False
         for runner in list(self._ledger.runners.values()):
             if not runner.ready or not runner.attempts:
--- a/src/streamthread/scheduler/learning.py
+++ b/src/streamthread/scheduler/learning.py
@@ -1,4 +1,7 @@
-"""Run times learned per image, since the callers' estimates are far off."""
+"""Run times learned per image, since the callers' estimates are far off.
+
+Run times of a step without an image are learned per step of its route.
+"""
 
 import attrs
 
@@ -14,7 +17,7 @@
 """The expected run time if neither a run nor an estimate is known."""
 
 MIN_LEARNED_RUNS = 2
-"""From this number of runs of an image, their mean replaces the caller's estimate."""
+"""From this number of runs of a key, their mean replaces the caller's estimate."""
 
 
 @attrs.define
@@ -25,7 +28,7 @@
 
 @attrs.define
 class RunTimes:
-    """The mean run time of each image."""
+    """The mean run time for each key, as `learning_key` returns it."""
 
     _means: dict[str, _Mean] = attrs.field(factory=dict)
 
--- a/src/streamthread/scheduler/ledger.py
+++ b/src/streamthread/scheduler/ledger.py
@@ -26,9 +26,9 @@
 
 
 class Ledger:
-    """Keeps the jobs and runners in memory and reports changes to be recorded.
+    """Keeps the jobs and runners in memory and reports changes to be persisted.
 
-    :param changed: called with each job whose progress must be recorded.
+    :param changed: called with each job whose progress must be persisted.
     :param jobs: all jobs that are not forgotten, by job id.
     :param open: the jobs that may still have runs, by job id.
     :param runners: the listed runner incarnations, by runner id.
@@ -103,7 +103,10 @@
             return None
 
     def settle_job(self, job: Job) -> None:
-        """Close the occurrences and the job if they have nothing left to run."""
+        """Mark finished occurrences as done, and close a job with nothing left to run.
+
+        What still has attempts stays in memory until these are over.
+        """
         if not job.over:
             for number, occurrence in list(job.occurrences.items()):
                 if occurrence.done:
--- a/src/streamthread/scheduler/model.py
+++ b/src/streamthread/scheduler/model.py
@@ -52,9 +52,9 @@
     """The phase of an attempt."""
 
     PLANNED = "planned"
-    """Placed, but not yet recorded durably."""
+    """Placed, but not yet persisted."""
     SENT = "sent"
-    """Recorded. The start was sent or may have been sent; its outcome is unknown."""
+    """Persisted. The start was sent or may have been sent; its outcome is unknown."""
     CONFIRMED = "confirmed"
     """The runner has confirmed that it has the run."""
     STOPPING = "stopping"
@@ -100,7 +100,7 @@
         it has not yet.
     :param born_ms: start time of the runner incarnation that the run was meant for;
         None if unknown.
-    :param read_back: the attempt was recorded by an earlier holder.
+    :param read_back: an earlier holder persisted the attempt.
     :param open_starts: the number of start orders without an answer. Each of them may
         still be carried out.
     :param sent_at_s: boot clock time at which the start was first sent; 0 if not by
@@ -118,10 +118,13 @@
     :param unlisted_since_s: boot clock time since when the runner does not list the
         run, although it is presumed to exist; 0 if it is listed.
     :param unlisted_logged: the missing listing has been logged.
-    :param blamed: a runner exit has been attributed to this attempt; recorded with it.
+    :param blamed: a runner exit has been attributed to this attempt; persisted with it.
     :param suspected: the runner became silent as the run started and has not answered
         since.
     :param stop: the state of the stop if the run is to be stopped.
+    :param usage: the value that the runner last reported: the tail latency in ms of a
+        long-running task, or the thousandths of a core that another task used; None if
+        unknown.
     :param pace_percent: the share of full speed at which the run works; None if unknown
         because an earlier holder may have changed it.
     :param pace_open_until_s: boot clock time until which an unanswered pace order may
@@ -229,6 +232,8 @@
     """One task of one step in one occurrence of its job.
 
     :param last_run: the highest run number used so far.
+    :param failures: how often a runner reported that a run failed; not counted for a
+        long-running task.
     :param checkpoint: the newest checkpoint that a runner reported.
     :param avoid: runner incarnations on which the task failed or lagged, or which
         became silent while they had the task.
@@ -238,7 +243,7 @@
     :param copy_requested: a speculative copy is to run beside the current attempt.
     :param moves: how often an attempt was stopped because it lagged.
     :param crashes: how many runners presumably exited as they started this task, since
-        it last worked on a runner for a while. It is recorded so that the next holder
+        it last worked on a runner for a while. It is persisted so that the next holder
         continues the count.
     :param later_ends: the same count for runners that certainly stayed alive after the
         start and exited before the task had worked for a while.
@@ -316,6 +321,9 @@
     """One step in one occurrence of its job.
 
     :param waiting_logged: it has been logged that the step waits for resources.
+    :param urgency: the cached sort key by which steps get resources; None if it has not
+        been computed yet.
+    :param urgency_at_s: wall time at which the sort key was computed.
     """
 
     occurrence: "Occurrence"
@@ -334,7 +342,7 @@
 
     @property
     def reserved_cpu(self) -> int:
-        """The cpu to reserve for one task; filler tasks use only what others leave."""
+        """The cpu to reserve for one task; filling tasks use only what others leave."""
         return 0 if self.request.fills else self.request.cpu
 
     def blocked_by(self) -> list[int]:
@@ -380,11 +388,16 @@
 
     :param service: the pool whose runners run the job.
     :param accepted_at_s: wall time of acceptance, in seconds since 1970.
-    :param occurrences: the occurrences that have begun and are not done.
+    :param priority: steps of jobs with a lower value are placed first.
+    :param max_attempts: the job fails once one of its tasks has failed this often.
+    :param stretch: the job's objective is to end within this multiple of the length of
+        its longest chain of steps, plus ``target_s``.
+    :param occurrences: the occurrences whose tasks exist: they are not done, or still
+        have attempts.
     :param done_times: the numbers of the occurrences that are done.
     :param begun: a runner has confirmed at least one run of the job.
     :param ended_at_s: wall time at which the job ended, or None.
-    :param durable: the submission is recorded, so it may be acknowledged.
+    :param durable: the submission is persisted, so it may be acknowledged.
     :param left_in_inbox: another daemon acknowledged the job and left it in the store.
     :param account: the client account that submitted the job; empty if its route needed
         no key.
--- a/src/streamthread/scheduler/orders.py
+++ b/src/streamthread/scheduler/orders.py
@@ -77,11 +77,11 @@
 
     @abstractmethod
     def on_runner_exit(self, link: RunnerLink, why: str) -> None:
-        """Handle the end of a runner incarnation."""
+        """Handle the exit of this runner incarnation."""
 
     @abstractmethod
     def kick(self) -> None:
-        """Wake up the processing of the queue."""
+        """Schedule a pass over the queue soon."""
 
 
 class OrderSender:
@@ -102,7 +102,7 @@
     # Starts.
 
     async def start(self, attempt: Attempt) -> None:
-        """Send a recorded start until the runner has answered it."""
+        """Send the start of a persisted attempt until the runner has answered it."""
         uncertain = attempt.phase is Phase.SENT
         while self._is_start_pending(attempt):
             link = self._owner.links.get(attempt.runner_id)
@@ -276,10 +276,11 @@
         return True
 
     async def pace(self, attempt: Attempt, percent: int) -> None:
-        """Set a run's pace once; the next list decides again.
+        """Send one order that sets a run's pace; a lost one is not sent again.
 
-        The pace is set again at each list while an earlier, unanswered order may still
-        take effect after the newest one.
+        The next list from the runner leads to a new order if one is needed. While an
+        earlier, unanswered order may still take effect after the newest one, each list
+        does.
         """
         link = self._owner.links.get(attempt.runner_id)
         if link is None or link.silent:
--- a/src/streamthread/scheduler/outcomes.py
+++ b/src/streamthread/scheduler/outcomes.py
@@ -247,7 +247,7 @@
         self._ledger.requeue(task)
 
     def give_up(self, task: Task) -> None:
-        """Stop starting a task to which too many runner exits are attributed."""
+        """Fail the job of a task to which too many runner exits are attributed."""
         job = task.step.occurrence.job
         if task.state is TaskState.DONE or job.over:
             return
@@ -256,7 +256,7 @@
         self._ledger.settle_job(job)
 
     def _fail_job(self, task: Task) -> None:
-        """Fail a task's job, unless the job is over: the task failed too often."""
+        """Mark a task as failed, and fail its job unless the job is already over."""
         job = task.step.occurrence.job
         task.state = TaskState.FAILED
         if job.over:
--- a/src/streamthread/scheduler/placement.py
+++ b/src/streamthread/scheduler/placement.py
@@ -40,8 +40,8 @@
 
 
 AVOID_WAIT_S = 1.5
-"""How long a failed task waits for free capacity on a runner where it has not failed.
-This is about as long as a task runs."""
+"""How long a task that avoids runners waits for free capacity on another one. This is
+about as long as a task runs."""
 
 
 @attrs.frozen
@@ -77,7 +77,12 @@
 
 
 def open_chain_s(occurrence: Occurrence, times: RunTimes, only_open: bool) -> float:
-    """Return the length of the longest chain of an occurrence's (open) steps."""
+    """Return the expected run time of the longest chain of an occurrence's steps.
+
+    Long-running steps count as 0.
+
+    :param only_open: steps that are done count as 0 as well.
+    """
     ends: list[float] = []
     for step in occurrence.steps:
         step_s = 0.0
@@ -171,7 +176,7 @@
 
 
 def _without_penalized(runners: list[RunnerState], now_s: float) -> list[RunnerState]:
-    """Exclude runners that recently failed often, while most others did not.
+    """Exclude runners with a penalty, unless they are more than half of all.
 
     A runner that fails every task immediately always has free capacity and would
     attract all tasks.
@@ -181,7 +186,14 @@
 
 
 def _may_run_on(task: Task, runner: RunnerState, runners: int) -> bool:
-    """Whether a task may run on a runner, where it may have failed before."""
+    """Whether a task may be placed on a runner, considering its earlier attempts.
+
+    A runner with an attempt of the task is never allowed. One that the task avoids is
+    allowed for a long-running task, if the task avoids as many runners as there are, or
+    once it has waited for ``AVOID_WAIT_S``.
+
+    :param runners: the number of runners that are considered for the task.
+    """
     if any(attempt.runner_id == runner.runner_id for attempt in task.attempts):
         return False
     if not is_avoided(task, runner) or task.step.request.lasting:
@@ -211,7 +223,10 @@
     runners: t.Sequence[RunnerState],
     now_s: float,
 ) -> list[Placement]:
-    """Place a step's tasks, each on the fitting runner with the lowest cost."""
+    """Place a step's tasks, each on the fitting runner with the lowest cost.
+
+    Suspect tasks go only to the runners that probation allows for them.
+    """
     placed_counts = _count_per_runner(step)
     job, clock_s = step.occurrence.job, boot_s()
     open_runners = [runner for runner in runners if accepts_job(job, runner, clock_s)]
--- a/src/streamthread/scheduler/probation.py
+++ b/src/streamthread/scheduler/probation.py
@@ -42,7 +42,7 @@
 
 
 def accepts_job(job: Job, runner: RunnerState, now_s: float) -> bool:
-    """Whether a runner is not on probation with another job's task.
+    """Whether a runner may get a job's tasks: no other job has it on probation.
 
     :param now_s: boot clock time.
     """
@@ -116,6 +116,6 @@
 
 
 def _is_starting(attempt: Attempt, now_s: float) -> bool:
-    """Whether an exit could be due to this attempt as well as to a new one."""
+    """Whether a runner exit could be due to this attempt as well as to a new one."""
     planned = attempt.phase is Phase.PLANNED
     return planned or attempt.sent_at_s > now_s - SIMULTANEOUS_START_S
--- a/src/streamthread/scheduler/progress.py
+++ b/src/streamthread/scheduler/progress.py
@@ -70,7 +70,11 @@
 
 
 def _is_monitored(attempt: Attempt) -> bool:
-    """Whether a run progresses on its own and at full speed; others wait or yield."""
+    """Whether a run should progress steadily, so that a lack of progress is a lag.
+
+    Members of a gang depend on each other, long-running tasks have no end, and filling
+    tasks and those with a reduced pace leave resources to others.
+    """
     request = attempt.task.step.request
     if request.gang or request.lasting or request.fills:
         return False
