--- a/src/streamthread/capacity/bursts.py
+++ b/src/streamthread/capacity/bursts.py
@@ -142,6 +142,7 @@
     def add(self, cpu_s: float, now_s: float, min_rate: float) -> Burst | None:
         """Record a job's work; return the burst that starts with it, or None.
 
+        :param cpu_s: the work in thousandths of a core times seconds.
         :param min_rate: lowest rate of a burst, in thousandths of a core.
         """
         self.settle(now_s)
--- a/src/streamthread/capacity/plan.py
+++ b/src/streamthread/capacity/plan.py
@@ -19,7 +19,7 @@
 
 
 NEGLIGIBLE_MACHINES = 0.1
-"""A need for another machine that is smaller than this share of it is ignored."""
+"""A need for no more than this share of one further machine adds no machine."""
 
 
 @attrs.frozen
@@ -61,7 +61,10 @@
 class MachineView:
     """The properties of one machine that decide about its moves.
 
-    :param free_to_move: it is up and idle, and no order for it is pending.
+    :param free_to_move: it is up, it is idle or in a spare pool, and no order for it is
+        pending.
+    :param usable: it is up, no order for it is pending, and its runner may get new
+        tasks.
     :param arriving: it is on its way into the pool.
     :param idle_for_s: how long nothing has run on it.
     :param due: it still has to go into upkeep.
--- a/src/streamthread/runners/batching.py
+++ b/src/streamthread/runners/batching.py
@@ -19,7 +19,7 @@
 
 MAX_PAUSE_S = 0.5
 """Upper limit for any number of busy runners. It is well below the 3.2 s for which a
-hold call extends runs and the 2.5 s within which a start must be carried out."""
+hold call renews leases and the 2.5 s within which a start must be carried out."""
 
 COUNT_INTERVAL_S = 0.25
 """Interval at which the busy runners are counted; a burst of load takes longer than
--- a/src/streamthread/runners/clock.py
+++ b/src/streamthread/runners/clock.py
@@ -12,7 +12,7 @@
     """The estimated clock of one runner.
 
     :param latest_deadline_ms: the latest deadline, on the runner's clock, that any
-        holder may have sent for the runs there.
+        holder may have sent for the leases or the starts of runs there.
     """
 
     latest_deadline_ms: int = 0
--- a/src/streamthread/runners/link.py
+++ b/src/streamthread/runners/link.py
@@ -25,8 +25,8 @@
 
 MAX_SYNC_AGE_S = 3.0
 """Maximum age of the answer from which a deadline is computed. Deadlines are based on
-the clock in the runner's last answer, which cannot be older because runs are only
-extended by 3.2 s from one call to the next."""
+the clock in the runner's last answer, which cannot be older because leases are only
+renewed by 3.2 s from one call to the next."""
 
 MAX_CLOCK_ERROR_S = MAX_SYNC_AGE_S * (1 / SLOWEST_CLOCK - 1)
 """Maximum delay with which a runner whose clock runs slow reaches such a deadline."""
@@ -36,10 +36,12 @@
 class LinkSettings:
     """Durations of hold calls, which renew the leases of a runner's runs.
 
-    :param hold_s: how long one call extends the runs; the runs of an unreachable
+    To extend a run means to renew its lease.
+
+    :param hold_s: for how long one call renews the leases; the runs of an unreachable
         runner can be started elsewhere after this time.
-    :param most_hold_s: the longest extension that a holder requests.
-    :param cut_hold_s: runners truncate longer extensions to this.
+    :param most_hold_s: the longest renewal that a holder requests.
+    :param cut_hold_s: runners truncate longer renewals to this.
     :param wait_s: how long a runner may wait for a run to end before it answers.
     :param idle_wait_s: the same for a runner without runs. A start that is sent during
         this wait is valid for ``start_within_s``, which is a second longer.
@@ -96,29 +98,29 @@
 
     @abstractmethod
     def on_ready(self, link: "RunnerLink") -> None:
-        """Called when a runner can receive tasks, initially or after a silence."""
+        """Handle that a runner can get new tasks, initially or after a silence."""
 
     @abstractmethod
     def on_runner_exit(self, link: "RunnerLink", why: str) -> None:
-        """Called when this incarnation of the runner has exited."""
+        """Handle the exit of this runner incarnation."""
 
     @abstractmethod
     def on_restarted(self, link: "RunnerLink", born_ms: int) -> None:
-        """Called when the next incarnation of the runner answers under the same id."""
+        """Handle that the next incarnation of the runner answers under the same id."""
 
     @abstractmethod
     def on_all_expired(self, link: "RunnerLink") -> None:
-        """Called when all runs there are certain to have expired."""
+        """Handle that all runs there have expired for certain."""
 
     @abstractmethod
     def on_fenced(self, link: "RunnerLink") -> None:
-        """Called when the runner has received a higher fencing token."""
+        """Handle a runner's report that it has seen a higher fencing token."""
 
 
 class RunnerLink:
     """Sends hold calls to one incarnation of a runner until it exits.
 
-    :param over: whether this incarnation has exited.
+    :param over: whether this incarnation has exited, so that no more calls are sent.
     :param held_since_s: when this link was created, on the boot clock.
     :param heard_at_s: when the runner last answered a call, on the boot clock; 0 if it
         has not answered yet.
@@ -152,8 +154,8 @@
     def silent(self) -> bool:
         """Whether the last call got no answer.
 
-        While this is true, no call may carry a deadline: each one could extend the
-        runs there, and their expiry could never be established.
+        While this is true, no call may carry a deadline: each one could renew the
+        leases there, and it could never be established that the runs have expired.
         """
         return self.runner.silent_at_s is not None
 
@@ -201,7 +203,7 @@
         await self._on_reply(reply)
 
     async def extend_once(self) -> None:
-        """Extend the current runs, concurrently with a pending hold call."""
+        """Renew the leases of the current runs, beside a pending hold call."""
         extend_s = self._owner.may_extend_s(self._settings.hold_s)
         if extend_s <= 0 or not self.clock.known or self.over or self.silent:
             return
@@ -277,7 +279,8 @@
     def _on_silence(self, why: str, hung: bool) -> None:
         """Place no more tasks on a runner that does not answer.
 
-        :param hung: the runner's process may still exist unchanged.
+        :param hung: the connection stayed open or the runner refused the call, so its
+            process may still exist, and when the silence began is unknown.
         """
         if self.over:
             return
--- a/src/streamthread/upkeep/plan.py
+++ b/src/streamthread/upkeep/plan.py
@@ -32,6 +32,8 @@
 
     :param idle: whether nothing runs on the machine.
     :param off: whether the machine is in a spare pool.
+    :param up: whether the platform reports the machine as up; no other machine is
+        selected.
     :param missed: whether taking it down reduces its pool by one machine. This is
         false for a machine that is being emptied, is draining or is silent.
     :param emptying: whether the machine is already being emptied.
@@ -71,8 +73,9 @@
 def plan_upkeep(wave: WaveView, settings: UpkeepSettings) -> UpkeepPlan:
     """Return the next actions of a wave.
 
-    Machines in spare pools go first, then idle ones, then those with the least load.
-    Each pool releases only the machines that it can spare.
+    Idle machines begin their upkeep, those in spare pools first. Busy machines are
+    emptied, first those whose emptying has begun, then those with the least load. Each
+    pool releases only the machines that it can spare.
     """
     releasable_by_pool = dict(wave.releasable_by_pool)
     ready = [m for m in wave.due if m.up and m.idle]
@@ -106,7 +109,12 @@
 def may_stop_long_running(
     others_away: int, may_miss: int | None, default_may_miss: int = 1
 ) -> bool:
-    """Whether one more long-running task of a step may be stopped now."""
+    """Whether one more long-running task of a step may be stopped now.
+
+    :param others_away: how many other tasks of the step are not working.
+    :param may_miss: a stop is allowed only while fewer than this are not working; None
+        means ``default_may_miss``.
+    """
     limit = default_may_miss if may_miss is None else may_miss
     return others_away < limit
 
