--- a/src/streamthread/holder/admission.py
+++ b/src/streamthread/holder/admission.py
@@ -29,7 +29,7 @@
         return self.manifest.version if self.manifest is not None else 0
 
     def route(self, name: str) -> Route | None:
-        """Return a route of this daemon's manifest."""
+        """Return a route of this daemon's configuration, or None if it has none."""
         manifest = self.manifest
         if manifest is None:
             return None
@@ -81,9 +81,9 @@
         return bool(account) and account not in manifest.accounts
 
     def refers_to(self, job: Job, route: str, account: str) -> bool:
-        """Whether a request on a route and account refers to a job with the named id.
+        """Whether a request for a job's id, on a route and account, means this job.
 
-        The job's route may have been renamed since. A job of another queue or of
+        The job's route may have been renamed since. A job of another route or of
         another account does not match.
         """
         return self._is_same_queue(job.route, route) and may_see(account, job.account)
@@ -93,7 +93,7 @@
         return self.refers_to(job, cancel.route, cancel.account)
 
     def _is_same_queue(self, route: str, other: str) -> bool:
-        """Whether two names may stand for one route; an unknown name was renamed."""
+        """Whether two names may mean one route; an unknown name counts as renamed."""
         if route == other:
             return True
         return self.route(route) is None or self.route(other) is None
--- a/src/streamthread/holder/advice.py
+++ b/src/streamthread/holder/advice.py
@@ -24,10 +24,12 @@
 objectives allow for one call on 30."""
 
 USABLE_SHARE = 0.8
-"""A ticket is used for this share of its validity, as the start must arrive within
-it."""
+"""A ticket is used for this share of its validity, as the start that carries it must
+still arrive while it is valid."""
 
 RETRY_S = 0.1
+"""Pause after a fetch that failed or found no runners."""
+
 MAX_STEPS = 2000
 """Above this number of cached steps, those that have ended are dropped."""
 
@@ -130,7 +132,7 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _fetch(self, step: StepRun) -> bool:
-        """Request tickets for one step; return whether there was an answer."""
+        """Request tickets for one step; return False to queue the step again."""
         job = step.occurrence.job
         policy = self._policy(job.route)
         runners = self._runners(job.service)[:RUNNERS_PER_CALL]
--- a/src/streamthread/holder/context.py
+++ b/src/streamthread/holder/context.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class DutySettings:
-    """How machines are monitored and ordered.
+    """How machines are monitored, and how their duties are decided.
 
     :param list_s: interval between reads of the list of machines.
     :param tick_s: interval between decisions.
--- a/src/streamthread/holder/duties.py
+++ b/src/streamthread/holder/duties.py
@@ -1,4 +1,4 @@
-"""Moves and upkeep: reads the machines, decides, and orders one duty per machine."""
+"""Decides on moves and upkeeps, and orders at most one duty per machine at a time."""
 
 import asyncio
 import typing as t
@@ -97,6 +97,7 @@
     # Decisions.
 
     def _decide(self) -> None:
+        """Order the upkeeps that the waves need now, then the moves."""
         documents = self._owner.context.documents
         if documents.manifest is None or self._owner.releasing:
             return
@@ -220,7 +221,11 @@
         pending: PendingDuty,
         call: t.Callable[[], t.Awaitable[DutyReply]],
     ) -> None:
-        """Send an order, unless the machine has become busy since."""
+        """Send an order.
+
+        It is discarded instead if the cell is being released, the machine has become
+        busy, or the order is no longer pending.
+        """
         await self._owner.until_trusted()
         if self._owner.releasing or not self._table.may_send(machine, pending):
             self._table.discard(machine, pending, "no longer free")
--- a/src/streamthread/holder/housekeeping.py
+++ b/src/streamthread/holder/housekeeping.py
@@ -36,7 +36,7 @@
         self._inbox = inbox
 
     async def watch_runs(self) -> None:
-        """Start speculative copies of runs that lag or whose runner is unreachable."""
+        """Copy or move lagging runs, copy runs on silent runners, log overdue stops."""
         while True:
             await asyncio.sleep(WATCH_RUNS_INTERVAL_S)
             await self._owner.until_trusted()
@@ -74,8 +74,8 @@
     async def drop_orphans(self) -> None:
         """Drop the runs on runners that were never listed here, once they have expired.
 
-        This happens without delay, as a long-running task among them runs nowhere until
-        then.
+        This happens without delay, as a long-running task whose run has expired runs
+        nowhere until that run is dropped.
         """
         bound_s = self._owner.context.settings.links.expiry_bound_s
         expired_at_s = self._owner.taken.last_hold_at_s + bound_s
--- a/src/streamthread/holder/lease_validity.py
+++ b/src/streamthread/holder/lease_validity.py
@@ -20,7 +20,7 @@
 class LeaseValidity:
     """Derives the validity of the lease from the last confirmed commit.
 
-    :param most_hold_s: the longest time for which runners accept an extension.
+    :param most_hold_s: the longest extension of runs that a holder requests.
     :param releasing: the cell is being released; no new orders are sent.
     """
 
@@ -75,8 +75,8 @@
     def may_extend_s(self, wanted_s: float) -> float:
         """Return for how long runs may be extended now; 0 means not at all.
 
-        While commits fail, runs are extended by the longest time that the runners
-        accept, so that they survive an outage of the store.
+        While commits fail or are slow, runs get the longest extension that a holder
+        requests, so that they survive an outage of the store.
         """
         if not self.trusted:
             return 0.0
--- a/src/streamthread/holder/listing.py
+++ b/src/streamthread/holder/listing.py
@@ -48,7 +48,7 @@
 
 
 class RunnerListing:
-    """Keeps each link's `listed` and `draining` as the list shows them.
+    """Keeps each link's ``listed`` and its runner's ``draining`` as the list has them.
 
     An entry that can't be decoded, or whose pool is in no configuration, makes no
     runner available, and no runner is called for it. If the runner already has a link,
@@ -184,8 +184,8 @@
             log.info("runner-listed-again", extra={"runner": entry.runner_id})
         link.listed = True
         if link.runner.update(entry):
-            # A runner that does not check its own capacity would accept starts beyond
-            # it.
+            # The new capacity counts at once: a runner that does not check its own
+            # capacity would accept starts beyond it.
             log.info(
                 "runner-resized",
                 extra={
@@ -211,6 +211,10 @@
         link.runner.ready = False
 
     def _unlist(self, runner_id: str) -> None:
+        """Place nothing more on a runner that has no entry.
+
+        During the grace period, a runner that still answers counts as listed.
+        """
         link = self._links.get(runner_id)
         if link is None or not link.listed:
             return
--- a/src/streamthread/holder/owner.py
+++ b/src/streamthread/holder/owner.py
@@ -31,7 +31,7 @@
     @property
     @abstractmethod
     def trusted(self) -> bool:
-        """Whether this daemon's lease on the cell is certainly still valid."""
+        """Whether this daemon's lease on the cell is certainly valid."""
 
     @property
     @abstractmethod
--- a/src/streamthread/holder/pending_cancels.py
+++ b/src/streamthread/holder/pending_cancels.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Cancel:
-    """A cancel of an unknown job, with the route and account of its caller.
+    """A cancel of a job, with the route and account of its caller.
 
     :param account: the client account; empty if the route needs no key.
     """
--- a/src/streamthread/holder/service.py
+++ b/src/streamthread/holder/service.py
@@ -62,7 +62,11 @@
 
 
 class Holder(SenderOwner, RunnerManagerOwner, QueueOwner):
-    """Runs everything that only the cell's holder does, from acquisition to loss."""
+    """Runs everything that only the cell's holder does, from acquisition to loss.
+
+    :param active: the jobs and the inbox have been read, and requests are answered.
+    :param failed: unexpected failures have ended this holder.
+    """
 
     def __init__(self, context: HolderContext, taken: AcquiredCell) -> None:
         self.context = context
@@ -251,7 +255,7 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether this daemon's lease on the cell is certainly still valid."""
+        """Whether this daemon's lease on the cell is certainly valid."""
         return self.lease_validity.trusted
 
     @property
@@ -271,7 +275,7 @@
 
     def _record_progress(self, job: Job) -> None:
         if job.over:
-            # The row of an ended job is smaller: see the codec.
+            # The row of an ended job without runs holds only how the job ended.
             self.log.mark(TABLE_JOBS, job.job_id, lambda: encode_definition(job))
         self.log.mark(TABLE_RUNS, job.job_id, lambda: encode_progress(job))
 
--- a/src/streamthread/holder/sizes.py
+++ b/src/streamthread/holder/sizes.py
@@ -60,6 +60,7 @@
         self._early_jobs: list[_EarlyJob] = []
         self._history: dict[str, collections.deque[tuple[float, int]]] = {}
         self.recent_max: dict[str, int] = {}
+        # Each pool's needed cpu, forecast cpu of arrivals and needed size, for the log.
         self._demands: dict[str, tuple[int, int, int]] = {}
         self._began_at_s = boot_s()
         self._first_job_at_s: float | None = None
--- a/src/streamthread/holder/waves.py
+++ b/src/streamthread/holder/waves.py
@@ -86,7 +86,7 @@
         return progress
 
     def has_begun(self, number: int, machine_id: str) -> bool:
-        """Whether the platform has accepted a machine's upkeep for a wave."""
+        """Whether a machine needs no further upkeep for a wave."""
         progress = self._waves.get(number)
         return progress is not None and machine_id in progress.begun
 
@@ -184,7 +184,7 @@
     def plan(
         self, wave: Wave, views: dict[str, MachineView], targets: dict[str, int]
     ) -> UpkeepPlan | None:
-        """Return the next steps of a wave, or None when no machine remains."""
+        """Return a wave's next steps, or None once no machine needs further upkeep."""
         progress = self._registry.progress_of(wave.number)
         remaining_ids = [m for m in wave.machine_ids if m not in progress.begun]
         down = sum(self._table.is_down(m) for m in wave.machine_ids)
