--- a/src/streamthread/cell/acquisition.py
+++ b/src/streamthread/cell/acquisition.py
@@ -98,7 +98,7 @@
     async def _may_acquire(
         self, suspicion: Suspicion, owner: Owner | None, suspected_at_s: float
     ) -> bool:
-        """Whether the store still names the suspected holder and a change is useful."""
+        """Whether the suspected holder is still the owner, and a new one would help."""
         asked_at_s = boot_s()
         if not await self._registry.reread():
             await asyncio.sleep(REFUSED_PAUSE_S)
@@ -111,7 +111,7 @@
         )
 
     def _is_slow_for_all(self, asked_at_s: float, suspected_at_s: float) -> bool:
-        """Whether the store is slow for this daemon too, so a change would not help.
+        """Whether the store is slow here too, so that a new holder would not help.
 
         Then a holder that cannot commit keeps the cell for a while. It continues as
         soon as its commit is confirmed; a new one would have to read all jobs first.
@@ -121,7 +121,7 @@
         return slow and now_s - suspected_at_s < self._times.slow_patience_s
 
     async def _has_recovered(self, owner: Owner | None) -> bool:
-        """Whether the holder commits again, because the store serves all daemons."""
+        """Whether the holder can commit again, as the store now serves all daemons."""
         if owner is None or not await self._peers.can_commit(
             owner.address, owner.token
         ):
@@ -136,6 +136,10 @@
         before: Owner | None,
         seen_version: int,
     ) -> AcquiredCell | None:
+        """Write the acquisition; return None if it did not take effect.
+
+        :param before: the holder to replace, if there was one.
+        """
         mine = self._as_owner((before.token if before else 0) + 1)
         began_at_s = boot_s()
         version = await self._write_owner(mine, seen_version, stalled_commits)
@@ -205,9 +209,10 @@
         seen_version: int,
         stalled_commits: StalledCommits | None = None,
     ) -> int | None:
-        """Return the version of the rows, or None if the write did not take effect.
+        """Write the owner row; return its version, or None if that had no effect.
 
-        The head row is replaced too, which ends all commits of earlier holders.
+        The transaction replaces the head row too, which ends all commits of earlier
+        holders.
 
         :param seen_version: the version of the owner row that the decision is based on.
         :param stalled_commits: if given, requires that the head row is unchanged since.
--- a/src/streamthread/cell/answers.py
+++ b/src/streamthread/cell/answers.py
@@ -1,4 +1,4 @@
-"""Determines the outcome of writes by reading back if their answers are overdue."""
+"""Reads back whether a write took effect if the store's answer is overdue."""
 
 import asyncio
 import typing as t
--- a/src/streamthread/cell/commits.py
+++ b/src/streamthread/cell/commits.py
@@ -52,6 +52,12 @@
 
 @attrs.frozen
 class _Batch:
+    """The changes that one transaction carries.
+
+    :param drops: the rows to delete.
+    :param done: completes when the transaction is confirmed.
+    """
+
     rows: tuple[StoredRow, ...]
     drops: tuple[StoredRow, ...]
     done: "asyncio.Future[None]"
@@ -68,6 +74,12 @@
         initially, the version after the cell was acquired.
     :param interval_s: the maximum interval between commits, which renew the lease.
     :param times: how long a commit keeps the lease valid.
+    :param confirmed_at_s: when the last confirmed commit was sent, on the boot clock;
+        initially, when the acquisition was sent.
+    :param failing_since_s: since when the current commit has been failing, or None.
+    :param trying_since_s: since when the current commit has been tried, or None.
+    :param sequence: number of confirmed commits.
+    :param lost: the log has ended and commits nothing more.
     """
 
     def __init__(
@@ -255,6 +267,10 @@
         return _Batch(tuple(rows), tuple(drops), done)
 
     async def _commit(self, batch: _Batch) -> None:
+        """Try a batch until one try is confirmed.
+
+        :raises NotHolderError: another daemon holds the cell.
+        """
         tries: dict[str, float] = {}
         pause_s = RETRY_MIN_S
         self.trying_since_s = boot_s()
--- a/src/streamthread/cell/lease.py
+++ b/src/streamthread/cell/lease.py
@@ -29,13 +29,16 @@
 log = logbook.Logger("streamthread.cell")
 
 RECHECK_S = 0.05
-"""Pause before following a holder again that is not suspected."""
+"""Pause before the daemon follows the holder again if it is not suspected."""
 
 
 class CellLease(Service):
     """Follows the cell's holder, and acquires the cell if it fails or releases it.
 
     :param cores: the CPU cores of this daemon; the holder uses more CPU than followers.
+    :param holding: whether this daemon holds the cell.
+    :param stopping: whether the daemon is stopping and must not acquire the cell.
+    :param takeovers: number of acquisitions by this daemon.
     :param on_acquired: called with the acquired cell; returns when the cell is lost.
     :param on_replaced: called when another holder is known while this daemon holds the
         cell.
--- a/src/streamthread/cell/peer.py
+++ b/src/streamthread/cell/peer.py
@@ -63,8 +63,12 @@
 class CellEndpoint(CellBase):
     """The server side of the port.
 
+    :param handle: answers a caller's request that a peer forwarded.
     :param get_heartbeat: returns the current heartbeat, or None if this daemon is not
         the holder.
+    :param interval_s: interval between the heartbeats to a follower.
+    :param announced: processes a peer's announcement and returns our own.
+    :param explain: explains the state of a job, the client accounts or the holder.
     """
 
     def __init__(
@@ -187,7 +191,7 @@
     async def explain(
         self, address: str, request: pb.ExplainRequest
     ) -> pb.ExplainReply:
-        """Ask the holder to explain the state of a job, the accounts or itself.
+        """Ask the holder to explain the state of a job, client accounts or itself.
 
         :raises PeerUnavailableError: no answer.
         """
--- a/src/streamthread/cell/rows.py
+++ b/src/streamthread/cell/rows.py
@@ -29,11 +29,23 @@
 ]
 
 TABLE_OWNER = "cell-owner"
+"""Contains one row, which names the holder of the cell."""
+
 TABLE_HEAD = "cell-head"
+"""Contains one row, which each commit and acquisition replaces: see :class:`Head`."""
+
 TABLE_JOBS = "cell-jobs"
+"""One row per job: its submission, or how it ended."""
+
 TABLE_RUNS = "cell-runs"
+"""One row per job: its progress."""
+
 TABLE_MEMBERS = "cell-members"
+"""One row per daemon: its address."""
+
 TABLE_INBOX = "cell-inbox"
+"""Submissions and cancels that wait for the holder, for their route or their job."""
+
 OWNER_KEY = "owner"
 HEAD_KEY = "head"
 
--- a/src/streamthread/cell/takeover.py
+++ b/src/streamthread/cell/takeover.py
@@ -13,12 +13,18 @@
 class Suspicion(enum.Enum):
     """Why the current holder may be replaced; the values appear in log events."""
 
+    # The holder may not be replaced.
     NONE = "none"
+    # The store names no holder.
     VACANT = "vacant"
     RELEASED = "released"
+    # The owner row names this daemon, which does not hold the cell now.
     OWN_EARLIER_INCARNATION = "own-earlier-life"
+    # The holder's port is closed.
     PROCESS_GONE = "process-gone"
+    # No heartbeat arrives, and the commits have stalled.
     SILENT = "silent"
+    # The holder reports that it cannot commit.
     CANNOT_COMMIT = "doubtful"
 
 
--- a/src/streamthread/cell/watch.py
+++ b/src/streamthread/cell/watch.py
@@ -79,7 +79,10 @@
         self.stalled_commits: StalledCommits | None = None
 
     async def observe(self) -> Suspicion:
-        """Return once the holder may be replaced, or when it has changed."""
+        """Follow the holder until it may be replaced or has to be followed anew.
+
+        :return: ``NONE`` unless the holder may be replaced.
+        """
         suspicion = await self._suspect()
         known = (suspicion, self._registry.owner)
         if known == self._reported:
