--- a/src/streamthread/jobs/attempts.py
+++ b/src/streamthread/jobs/attempts.py
@@ -56,7 +56,7 @@
             self._running.pop(key, None)
 
     async def read_reports(self, jobs: PoolJobs) -> None:
-        """Read the report of each unconfirmed attempt. It may have ended meanwhile."""
+        """Read the reports of the unconfirmed attempts, which may have ended."""
         limit = asyncio.Semaphore(PARALLEL_CALLS)
 
         async def read(job: Job) -> None:
--- a/src/streamthread/jobs/decide.py
+++ b/src/streamthread/jobs/decide.py
@@ -156,8 +156,9 @@
         return quota is None or used + spec.cores <= quota
 
     def _tightest_fit(self, job: Job) -> _FreeCapacity | None:
-        """Return the worker that fits most tightly and on which the job has not failed.
+        """Return the open worker with the fewest free cores that fits the job.
 
+        Workers on which the job has failed are left out.
         Jobs that have failed are spread over different workers where possible. When a
         worker is lost, every job on it is reported as failed. Without the spreading,
         jobs that only ran next to the cause would be parked along with it.
@@ -207,7 +208,7 @@
         self._team_cores[team] = self._team_cores.get(team, 0) + job.spec.cores
 
     def _preempt_for(self, job: Job) -> list[JobUpdate]:
-        """Preempt jobs on the worker where that checkpoints the fewest cores."""
+        """Start a job where the fewest cores have to be checkpointed for it."""
         best: list[Job] = []
         for free in self._free.values():
             if not self._is_open_for(job, free):
--- a/src/streamthread/jobs/pool_jobs.py
+++ b/src/streamthread/jobs/pool_jobs.py
@@ -29,7 +29,11 @@
 class PoolJobs:
     """Holds the jobs of one pool, as loaded under one epoch.
 
+    :param fence: the epoch of the pool's shard under which the jobs were loaded.
     :param unfinished: the jobs that have not ended.
+    :param queued: the jobs that wait for a worker.
+    :param attempts_on_worker: the number of started jobs of each worker.
+    :param decided_at_s: when the last decision was made, on the boot clock.
     :param unconfirmed: started jobs whose start call has not been answered yet.
     :param outcome_unknown: started jobs for which a start call may have got no answer,
         from this holder or an earlier one. A later refusal does not rule out that the
--- a/src/streamthread/jobs/quarantine.py
+++ b/src/streamthread/jobs/quarantine.py
@@ -8,12 +8,12 @@
 MAX_QUARANTINED_FRACTION = 0.2
 """Maximum fraction of a pool's workers in quarantine.
 
-One worker may always be quarantined, but never all workers of a pool.
+Even a small pool may have one worker in quarantine, but never all of its workers.
 """
 
 
 class Quarantine:
-    """Counts failures of distinct jobs since each worker's last success."""
+    """Counts the distinct jobs that failed since a worker's last success or reboot."""
 
     def __init__(self) -> None:
         self._failed_jobs: dict[str, set[str]] = {}
--- a/src/streamthread/jobs/service.py
+++ b/src/streamthread/jobs/service.py
@@ -51,9 +51,8 @@
 class JobService(Service):
     """Accepts jobs, places them on workers and follows their attempts.
 
-    A row that says STARTED is committed before the task is started. The start
-    is then repeated until it is answered: the platform runs an attempt
-    only once.
+    A row that says STARTED is committed before the task is started. The start is then
+    repeated until it is answered: the platform runs an attempt only once.
     """
 
     def __init__(
--- a/src/streamthread/jobs/table.py
+++ b/src/streamthread/jobs/table.py
@@ -36,8 +36,9 @@
     """Loads a pool's jobs when this daemon becomes its holder and commits updates.
 
     A commit carries the epoch and the versions of the rows. If a commit is refused or
-    its outcome is unknown, the pool's jobs are read again before anything else. The
-    exception is a conflict on the pool's row alone.
+    its outcome is unknown, the pool's jobs are read again before anything else. After a
+    conflict on the pool's row alone they stay loaded, because only the view of the pool
+    is out of date.
 
     :param throttled_pause_s: the pause before a commit that the store throttled is
         retried.
@@ -190,7 +191,7 @@
 
 
 def _restore(jobs: PoolJobs, row: Row) -> None:
-    """Load a job from its row. The latest attempt may still run on a worker."""
+    """Load a job as an earlier holder left it. Its latest attempt may still run."""
     job = cattrs.structure(row.value, Job)
     job_id = job.spec.job_id
     jobs.put(job, row.version)
