--- a/src/streamthread/leases/committer.py
+++ b/src/streamthread/leases/committer.py
@@ -110,6 +110,7 @@
         return row is not None and row.token == transaction.token
 
     async def _may_be_overwritten(self, transaction: Transaction) -> bool:
+        """Return whether a later write may have replaced the transaction's token."""
         write = _representative_write(transaction)
         row = await self._read(write.key)
         return row is not None and row.version > write.expected_version
--- a/src/streamthread/leases/observer.py
+++ b/src/streamthread/leases/observer.py
@@ -76,6 +76,7 @@
         ]
 
     def _has_gap(self, now_s: float) -> bool:
+        """Return whether the last cycle failed or is more than half a term ago."""
         if self._last_cycle_s is None:
             return True
         return now_s - self._last_cycle_s > self._term_s / 2
--- a/src/streamthread/leases/service.py
+++ b/src/streamthread/leases/service.py
@@ -37,7 +37,13 @@
 
 @attrs.frozen
 class LeaseSettings:
-    """Lease settings, which must be the same in all daemons."""
+    """Lease settings, which must be the same in all daemons.
+
+    :param renew_s: the average pause between two renewals.
+    :param term_s: how long a lease row stays unchanged before others treat the lease
+        as expired.
+    :param margin_s: how much earlier than that a daemon stops trusting its own lease.
+    """
 
     shard_count: int = 64
     renew_s: float = 2.0
--- a/src/streamthread/leases/tests/test_service.py
+++ b/src/streamthread/leases/tests/test_service.py
@@ -3,7 +3,8 @@
 Guards against a daemon that reports itself as holder after another has taken over. A
 daemon that was paused for longer than its lease still had the old shard rows in memory.
 They named it as the holder of a pool until it read them again, although one of the two
-other daemons already committed for that pool under a later epoch.
+other daemons already committed for that pool under a later epoch. The epochs of the
+accepted commits proved the fault, and these tests failed until it was fixed.
 """
 
 import pytest
--- a/src/streamthread/maintenance/decide.py
+++ b/src/streamthread/maintenance/decide.py
@@ -27,7 +27,13 @@
 ]
 
 MOVE_PREFIX = "move/"
+"""Begins the purpose of a move and precedes the name of the target pool.
+
+Without a name, the instance leaves its pool and joins no other.
+"""
+
 WAVE_PREFIX = "wave/"
+"""Begins the key of a wave, which is also the purpose of its drains."""
 
 
 class StepKind:
@@ -50,6 +56,7 @@
     :param wanted_by: the keys of the holds and waves that select it, holds first.
     :param better_pool: the pool that it should move to; empty if there is none.
     :param better_pool_vacancies: how many more instances that pool takes.
+    :param matches_pool: whether the selector of this pool matches it.
     :param overdue: whether its reboot has exceeded the time limit.
     """
 
@@ -184,6 +191,7 @@
         purpose = _choose_purpose(member, facts, snapshot)
         if not purpose or not snapshot.fresh:
             continue
+        # An instance that is not live is unavailable already.
         cost = 1 if facts.live else 0
         if cost > grants_left or not quota.allows(purpose, facts):
             continue
