--- a/src/streamthread/gateway/daemon.py
+++ b/src/streamthread/gateway/daemon.py
@@ -81,9 +81,10 @@
 limit counts whole seconds."""
 
 MAX_HOLD_S = 6.0
-"""Runs are never extended for longer than this, even if their runner accepts longer
-holds. Outages of the store last 4.5 s. A new holder that never reached a runner waits
-for this time before it starts the runs recorded on that runner elsewhere."""
+"""A hold call never renews the leases of runs for longer than this, even if their
+runner accepts longer holds. Outages of the store last 4.5 s. A new holder that never
+reached a runner waits for this time before it starts the runs recorded on that runner
+elsewhere."""
 
 
 def cell_settings(node: NodeSettings) -> CellSettings:
@@ -309,7 +310,7 @@
         """Release the cell, and remain the holder until the release is written.
 
         Until the store accepts the release, heartbeats announce that others may
-        acquire the cell, and the leases of its runs are still extended until one does.
+        acquire the cell, and the leases of its runs are still renewed until one does.
         """
         holder = self.holder
         if holder is None:
--- a/src/streamthread/requests/answers.py
+++ b/src/streamthread/requests/answers.py
@@ -18,6 +18,7 @@
 
 CHUNK_BYTES = 64 * 1024
 MAX_RECORDED_BYTES = 4096
+"""The body of a longer answer is not stored, so the answer cannot be replayed."""
 
 _DROPPED_HEADERS = frozenset(
     {
--- a/src/streamthread/requests/claims.py
+++ b/src/streamthread/requests/claims.py
@@ -190,6 +190,10 @@
             await asyncio.sleep(wait_s)
 
     def _next_batch(self) -> list[_PendingWrite]:
+        """Take the writes of the next transaction, each key at most once.
+
+        Claims come first. Claims for which no request waits any more are dropped.
+        """
         batch: list[_PendingWrite] = []
         keys: set[str] = set()
         for queue in (self._claims, self._outcomes):
--- a/src/streamthread/requests/directory.py
+++ b/src/streamthread/requests/directory.py
@@ -39,8 +39,8 @@
 class UpstreamDirectory:
     """Computes lists of upstreams from pool views, membership and leaving marks.
 
-    :param entry: this entry's id.
-    :param entries: returns the sorted ids of the live entries, including this one.
+    :param entry: this daemon's id.
+    :param entries: returns the sorted ids of the live daemons, including this one.
     """
 
     def __init__(
--- a/src/streamthread/requests/dispatch.py
+++ b/src/streamthread/requests/dispatch.py
@@ -46,7 +46,7 @@
 class Dispatcher:
     """Sends requests to the upstreams that the router chooses.
 
-    :param is_stopping: returns whether this entry is stopping; callers' connections
+    :param is_stopping: returns whether this daemon is stopping; callers' connections
         are then closed after the answer.
     """
 
@@ -77,9 +77,7 @@
         """Try upstreams until one accepts the request, and relay its answer.
 
         Once an upstream has accepted the request and begun to answer, no other one is
-        tried.
-
-        Once an answer was lost, every failure has the outcome unknown, never
+        tried. Once an answer was lost, every failure has the outcome unknown, never
         not-run, because the request may have run.
 
         :param answer: records a copy of the answer, if given.
--- a/src/streamthread/requests/outcomes.py
+++ b/src/streamthread/requests/outcomes.py
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Problem(Exception):  # noqa: N818
-    """A final answer that this entry generates (RFC 9457 problem document).
+    """A final answer that this daemon generates (RFC 9457 problem document).
 
     :param retry_after_s: when to retry; None if a retry does not help.
     """
--- a/src/streamthread/requests/router.py
+++ b/src/streamthread/requests/router.py
@@ -33,7 +33,7 @@
 class Slot:
     """A slot that a request occupies.
 
-    :param borrowed: whether the slot belongs to another entry.
+    :param borrowed: whether the slot belongs to another daemon.
     """
 
     service: str
@@ -44,8 +44,8 @@
 class Router:
     """Chooses upstreams and counts the requests in flight on each of them.
 
-    :param entry: this entry's id.
-    :param entries: returns the sorted ids of the live entries, including this one.
+    :param entry: this daemon's id.
+    :param entries: returns the sorted ids of the live daemons, including this one.
     :param spread_soon: requests an early exchange of updates with the peers.
     """
 
@@ -155,9 +155,9 @@
         return Slot(name, chosen.upstream, chosen.borrowed)
 
     def _may_borrow(self, name: str) -> bool:
-        """Whether requests for the service may use slots of other entries now.
+        """Whether requests for the service may use slots of other daemons now.
 
-        They may not while requests for it wait at another entry, which then needs its
+        They may not while requests for it wait at another daemon, which then needs its
         own slots, nor during the backoff after an upstream refused such a request.
         """
         if self._waiting.is_waiting_elsewhere(name):
@@ -232,11 +232,11 @@
     # Reports.
 
     def waiting(self) -> list[str]:
-        """Return the services for which requests recently waited at this entry."""
+        """Return the services for which requests recently waited at this daemon."""
         return self._waiting.waiting_here()
 
     def drain_reports(self) -> list[pb.DrainReport]:
-        """Return how many requests this entry has in flight on draining instances."""
+        """Return how many requests this daemon has in flight on draining instances."""
         return [
             pb.DrainReport(
                 instance_id=instance_id,
@@ -247,7 +247,7 @@
         ]
 
     def in_flight_on(self, instance_id: str) -> int:
-        """Return how many requests this entry has in flight on one instance."""
+        """Return how many requests this daemon has in flight on one instance."""
         health = self._directory.health_by_id.get(instance_id)
         return health.in_flight if health else 0
 
--- a/src/streamthread/requests/service.py
+++ b/src/streamthread/requests/service.py
@@ -31,14 +31,14 @@
 OUTDATED_RETRY_S = 1.0
 """Retry-After while the configuration here may be outdated.
 
-Meanwhile the balancer chooses another entry.
+Meanwhile the balancer chooses another daemon.
 """
 
 
 class RequestService(Service):
     """The HTTP server for callers.
 
-    :param is_current: returns whether this entry's configuration is current enough
+    :param is_current: returns whether this daemon's configuration is current enough
         for new requests.
     """
 
--- a/src/streamthread/requests/shares.py
+++ b/src/streamthread/requests/shares.py
@@ -1,8 +1,8 @@
-"""Assigns the upstreams' slots to the entries, without communication.
+"""Assigns the upstreams' slots to the daemons, without communication.
 
-All entries know the same upstreams and the same live entries, so each computes the
+All daemons know the same upstreams and the same live daemons, so each computes the
 same round-robin assignment in a fixed order. While their views differ for a moment,
-two entries may use the same slot; the upstream then refuses the second request.
+two daemons may use the same slot; the upstream then refuses the second request.
 """
 
 import collections
@@ -13,7 +13,10 @@
 __all__ = ["BorrowingBackoff", "own_slots"]
 
 MIN_PAUSE_S = 0.01
+"""Pause after the first refusal in a borrowed slot."""
+
 MAX_PAUSE_S = 0.4
+"""Upper bound of the pause, which doubles with each refusal."""
 
 
 def _hash(text: str) -> bytes:
@@ -24,15 +27,15 @@
 def own_slots(
     upstreams: tuple[str, ...], slots: int, entries: tuple[str, ...], entry: str
 ) -> t.Mapping[str, int]:
-    """Return how many slots of each upstream belong to one entry.
+    """Return how many slots of each upstream belong to one daemon.
 
-    The slots of all upstreams are assigned round-robin, so that the entries' totals
-    differ by at most one and an entry's slots are spread over the upstreams.
+    The slots of all upstreams are assigned round-robin, so that the daemons' totals
+    differ by at most one and a daemon's slots are spread over the upstreams.
 
     :param upstreams: the sorted ids of the upstreams.
     :param slots: the number of slots of each upstream.
-    :param entries: the sorted ids of the live entries.
-    :param entry: the id of the entry whose slots are returned.
+    :param entries: the sorted ids of the live daemons.
+    :param entry: the id of the daemon whose slots are returned.
     """
     if entry not in entries:
         return {}
@@ -49,9 +52,9 @@
 
 
 class BorrowingBackoff:
-    """Exponential backoff for the use of slots that belong to other entries.
+    """Exponential backoff for the use of slots that belong to other daemons.
 
-    While other entries leave slots unused, a request in such a slot is accepted and
+    While other daemons leave slots unused, a request in such a slot is accepted and
     the next may follow at once. Each refusal doubles the pause, so that busy
     upstreams get fewer such requests.
     """
--- a/src/streamthread/requests/upstreams.py
+++ b/src/streamthread/requests/upstreams.py
@@ -10,9 +10,17 @@
 __all__ = ["Choice", "Upstream", "UpstreamHealth", "choose"]
 
 FAILURES_BEFORE_EJECTION = 5
+"""Number of failures without a success between them that eject an upstream."""
+
 EJECTION_BASE_S = 2.0
+"""Duration of the first ejection, which doubles with each further one."""
+
 MAX_EJECTION_S = 60.0
+"""Upper bound of this duration."""
+
 MAX_EJECTED_FRACTION = 0.5
+"""If more than this fraction of a service's upstreams is ejected, all are used."""
+
 FULL_PAUSE_S = 0.02
 """Mean pause after an upstream refused a request because it had no free slot."""
 
@@ -22,8 +30,8 @@
     """An upstream that may be chosen.
 
     :param boot: boot number of the instance; a leaving mark is valid for one boot.
-    :param limit: maximum number of requests in flight there from this entry.
-    :param own: how many of its slots belong to this entry.
+    :param limit: maximum number of requests in flight there from this daemon.
+    :param own: how many of its slots belong to this daemon.
     """
 
     instance_id: str
@@ -36,7 +44,7 @@
 
 @attrs.frozen
 class Choice:
-    """An upstream, and whether the slot there belongs to another entry."""
+    """An upstream, and whether the slot there belongs to another daemon."""
 
     upstream: Upstream
     borrowed: bool
@@ -73,7 +81,7 @@
         return True
 
     def note_full(self, now_s: float) -> None:
-        """Pause after a refusal: requests of other entries occupy the slots."""
+        """Pause after a refusal: requests of other daemons occupy the slots."""
         self.full_until_s = now_s + FULL_PAUSE_S * random.uniform(0.5, 1.5)
 
     def is_ejected(self, now_s: float) -> bool:
@@ -91,13 +99,13 @@
 ) -> Choice | None:
     """Return the upstream for a request, or None if none can be used.
 
-    Upstreams with a free slot that belongs to this entry come first. Among several,
+    Upstreams with a free slot that belongs to this daemon come first. Among several,
     the least loaded one is chosen; of equally loaded ones, one in the same hall, or
     else a random one. Ejected upstreams are left out, unless more than
     ``MAX_EJECTED_FRACTION`` of all are ejected.
 
     :param tried: ids of upstreams to leave out.
-    :param may_borrow: whether slots of other entries may be used.
+    :param may_borrow: whether slots of other daemons may be used.
     """
     now_s = boot_s() if now_s is None else now_s
     usable = [
--- a/src/streamthread/requests/waiting.py
+++ b/src/streamthread/requests/waiting.py
@@ -1,4 +1,4 @@
-"""Tracks the services whose requests wait, here and at the other entries."""
+"""Tracks the services whose requests wait, here and at the other daemons."""
 
 import typing as t
 
@@ -13,8 +13,8 @@
 class WaitingServices:
     """Reports to the peers which services lack slots here, and stores their reports.
 
-    :param entry: this entry's id.
-    :param entries: returns the ids of the live entries, including this one.
+    :param entry: this daemon's id.
+    :param entries: returns the ids of the live daemons, including this one.
     :param spread_soon: requests an early exchange of updates with the peers.
     """
 
@@ -41,20 +41,20 @@
         self._waited_at_s[name] = now_s
 
     def waiting_here(self) -> list[str]:
-        """Return the services for which requests recently waited at this entry."""
+        """Return the services for which requests recently waited at this daemon."""
         since_s = boot_s() - WAITING_RETENTION_S
         return sorted(
             name for name, at_s in self._waited_at_s.items() if at_s >= since_s
         )
 
     def note_waiting_at(self, entry: str, names: t.Iterable[str]) -> None:
-        """Store the services for which requests wait at another entry."""
+        """Store the services for which requests wait at another daemon."""
         self._elsewhere[entry] = frozenset(names)
 
     def is_waiting_elsewhere(self, name: str) -> bool:
-        """Whether requests for a service wait at another live entry.
+        """Whether requests for a service wait at another live daemon.
 
-        That entry then needs all of its own slots.
+        That daemon then needs all of its own slots.
         """
         return any(
             name in self._elsewhere.get(entry, ())
